--- a/cmd/barleyshelf/cluster_test.go
+++ b/cmd/barleyshelf/cluster_test.go
@@ -153,7 +153,7 @@
 	b.eventually("get programs", func(shown string) bool { return strings.Contains(shown, `"complete": false`) })
 	made = b.plan(replaced("tools: [refund]", "tools: [cabinet-status]"))
 	require.Len(t, made.Harms, 1)
-	require.Equal(t, plan.Unknown, made.Harms[0].Programs)
+	require.Equal(t, plan.UnknownCount, made.Harms[0].Programs)
 }
 
 // eventually repeats a command until holds is true of its JSON output.
--- a/cmd/barleyshelf/main_test.go
+++ b/cmd/barleyshelf/main_test.go
@@ -36,7 +36,9 @@
 	time.Sleep(v.answersAfter)
 	return v.versions
 }
-func (v *daemonView) Use(context.Context) plan.Use { return plan.Use{Known: true, Counts: v.counts} }
+func (v *daemonView) Use(context.Context) plan.Usage {
+	return plan.Usage{Complete: true, Counts: v.counts}
+}
 func (v *daemonView) Nodes() []structs.Node {
 	return []structs.Node{
 		{ID: "daemon-1", Zone: "nantou", State: structs.NodeAlive}, {ID: "daemon-2", Zone: "changhua", State: structs.NodeAlive},
@@ -191,7 +193,7 @@
 	harmless := b.plan(replaced("tools: [refund]", "tools: [cabinet-status]"))
 	require.Empty(t, harmless.Harms)
 	// Programs that were opened after the plan was made count as well.
-	b.view.counts = []plan.ProgramCount{{Program: "refund", Tenant: "riders", UnderWay: 3}}
+	b.view.counts = []plan.ProgramCount{{Program: "refund", Tenant: "riders", Running: 3}}
 	var failed failureReport
 	require.Equal(t, exitRefused, b.command(&failed, "apply", harmless.ID, "--accept", "something-else"))
 	require.EqualValues(t, "harm_not_accepted", failed.Type)
--- a/cmd/barleyshelf/role.go
+++ b/cmd/barleyshelf/role.go
@@ -38,10 +38,10 @@
 	}
 	defer log.Close(logCloseTimeout)
 	running := gateway.New(gateway.Options{
-		Node: loaded.Node, Zone: loaded.Zone, Ingress: loaded.Ingress, Readiness: loaded.Readiness,
-		Forwarder: loaded.Forwarder, Seeds: loaded.Seeds, Grace: loaded.Grace(), Dialect: platform.Dialect{},
-		Metrics: loaded.Metrics, Log: log, MemoryBytes: loaded.MemoryBytes(), Disabled: loaded.Disabled(), Enabled: loaded.Enabled(),
-		Regions: loaded.Zones, DrainsFollowed: loaded.DrainsFollowed(), DrainBound: loaded.DrainBound(),
+		Node: loaded.Node, Zone: loaded.Zone, IngressAddress: loaded.Ingress, ReadinessAddress: loaded.Readiness,
+		ForwarderAddress: loaded.Forwarder, Seeds: loaded.Seeds, ShutdownGracePeriod: loaded.Grace(), HeaderCodec: platform.Dialect{},
+		MetricsAddress: loaded.Metrics, LogSink: log, MemoryBytes: loaded.MemoryBytes(), DisabledMechanisms: loaded.Disabled(), EnabledMechanisms: loaded.Enabled(),
+		RegionOf: loaded.Zones, WatchZoneDrains: loaded.DrainsFollowed(), MaxDrainDelay: loaded.DrainBound(),
 	}, newStore(loaded))
 	c.follow(c.app, loaded, settings.Role.ValidateGateway, func(changed settings.Role) {
 		running.Reload(changed.Seeds, changed.Grace())
@@ -62,15 +62,15 @@
 	}
 	defer log.Close(logCloseTimeout)
 	running, err := replica.New(replica.Options{
-		Node: loaded.Node, Zone: loaded.Zone, Address: loaded.Replica, Folder: loaded.DataFolder,
-		Bootstrap: loaded.Bootstrap, Seeds: loaded.Seeds, Metrics: loaded.Metrics, Quota: loaded.Quota(), Grace: loaded.Grace(),
-		Disabled: loaded.Disabled(), Regions: loaded.Zones, ZonesBorne: int(loaded.ZonesBorne), DrainsFollowed: loaded.DrainsFollowed(), ColdTolerance: loaded.ColdTolerance(),
+		Node: loaded.Node, Zone: loaded.Zone, Address: loaded.Replica, DataFolder: loaded.DataFolder,
+		Bootstrap: loaded.Bootstrap, Seeds: loaded.Seeds, MetricsAddress: loaded.Metrics, TenantTolerance: loaded.Quota(), ShutdownGracePeriod: loaded.Grace(),
+		DisabledMechanisms: loaded.Disabled(), RegionOf: loaded.Zones, ToleratedZoneFailures: int(loaded.ZonesBorne), WatchZoneDrains: loaded.DrainsFollowed(), ColdWorkerTolerance: loaded.ColdTolerance(),
 	}, newStore(loaded))
 	if err != nil {
 		return err
 	}
 	c.follow(c.app, loaded, settings.Role.ValidateReplica, func(changed settings.Role) {
-		running.Reload(changed.Seeds)
+		running.SetSeeds(changed.Seeds)
 	})
 	return running.Run(c.app.context)
 }
--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -45,7 +45,7 @@
 // New returns a backlog of up to limit requests.
 func New(limit int) *Backlog {
 	created := &Backlog{limit: limit}
-	created.waits.Expect(firstWait)
+	created.waits.SetInitial(firstWait)
 	return created
 }
 
@@ -54,9 +54,9 @@
 	return cmp.Or(cmp.Compare(a.rank, b.rank), a.latest.Compare(b.latest), cmp.Compare(a.serial, b.serial))
 }
 
-// Join adds a request. It returns nil where the request would wait in vain, or where the
+// Enqueue adds a request. It returns nil where the request would wait in vain, or where the
 // backlog is full of those that go before it. In a full one the last gives way.
-func (b *Backlog) Join(now time.Time, rank int, latest time.Time) *Entry {
+func (b *Backlog) Enqueue(now time.Time, rank int, latest time.Time) *Entry {
 	if len(b.entries) == 0 {
 		b.since = now
 	}
@@ -87,8 +87,8 @@
 	return b.entries[0]
 }
 
-// MoreUrgentThan reports whether any request of a more urgent kind waits.
-func (b *Backlog) MoreUrgentThan(rank int) bool {
+// HasHigherPriority reports whether any request of a more urgent kind waits.
+func (b *Backlog) HasHigherPriority(rank int) bool {
 	return len(b.entries) > 0 && b.entries[0].rank < rank
 }
 
@@ -98,9 +98,9 @@
 	return slices.BinarySearchFunc(b.entries, entry, precedes)
 }
 
-// InVain reports whether an entry is not expected to get a place in time, has waited for
+// ShouldReject reports whether an entry is not expected to get a place in time, has waited for
 // longer than those did that got one, or has had to give way to others.
-func (b *Backlog) InVain(now time.Time, entry *Entry) bool {
+func (b *Backlog) ShouldReject(now time.Time, entry *Entry) bool {
 	place, waits := b.place(entry)
 	return !waits || now.Sub(entry.joined) > b.waits.Typical() || b.tooFarBack(now, place, entry.latest)
 }
@@ -110,10 +110,10 @@
 	return now.Add(time.Duration(place) * b.interval.Mean()).After(latest)
 }
 
-// Expected returns after what time a request that would come now, of the given kind, is
+// ExpectedWait returns after what time a request that would come now, of the given kind, is
 // likely to get a place. Where none has come for longer than usual, it may take as long
 // again.
-func (b *Backlog) Expected(now time.Time, rank int) time.Duration {
+func (b *Backlog) ExpectedWait(now time.Time, rank int) time.Duration {
 	if len(b.entries) == 0 {
 		return 0
 	}
@@ -126,21 +126,21 @@
 
 // Admit notes that an entry got a place at a moment, and removes it if it still waits.
 func (b *Backlog) Admit(at time.Time, entry *Entry) {
-	b.Leave(entry)
+	b.Remove(entry)
 	b.interval.Observe(max(0, at.Sub(b.since)))
 	b.waits.Observe(at.Sub(entry.joined))
 	b.since = at
 }
 
-// Rejoin puts an entry that had left, to ask for a place, back where it was.
-func (b *Backlog) Rejoin(entry *Entry) {
+// Requeue puts an entry that had left, to ask for a place, back where it was.
+func (b *Backlog) Requeue(entry *Entry) {
 	if place, waits := b.place(entry); !waits {
 		b.insert(place, entry)
 	}
 }
 
-// Leave removes an entry that has got no place, and reports whether it still waited.
-func (b *Backlog) Leave(entry *Entry) bool {
+// Remove removes an entry that has got no place, and reports whether it still waited.
+func (b *Backlog) Remove(entry *Entry) bool {
 	place, waits := b.place(entry)
 	if waits {
 		b.entries = slices.Delete(b.entries, place, place+1)
--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -18,13 +18,13 @@
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func TestTheMoreUrgentKindGoesFirstThenWhatHasLessTime(t *testing.T) {
+func TestOrderIsByPriorityThenDeadline(t *testing.T) {
 	waiting := New(8)
-	late := waiting.Join(at(0), 1, at(900))
-	early := waiting.Join(at(0), 1, at(500))
-	urgent := waiting.Join(at(0), 0, at(5000))
-	require.True(t, waiting.MoreUrgentThan(1))
-	require.False(t, waiting.MoreUrgentThan(0))
+	late := waiting.Enqueue(at(0), 1, at(900))
+	early := waiting.Enqueue(at(0), 1, at(500))
+	urgent := waiting.Enqueue(at(0), 0, at(5000))
+	require.True(t, waiting.HasHigherPriority(1))
+	require.False(t, waiting.HasHigherPriority(0))
 	for _, wanted := range []*Entry{urgent, early, late} {
 		require.Same(t, wanted, waiting.First())
 		waiting.Admit(at(1), wanted)
@@ -32,45 +32,45 @@
 	require.Zero(t, waiting.Len())
 }
 
-func TestWhatWouldGetNoPlaceInTimeDoesNotWait(t *testing.T) {
+func TestEnqueueRejectsUnreachableDeadline(t *testing.T) {
 	waiting := New(8)
 	for i := range 20 {
-		entry := waiting.Join(at(100*i), 0, at(100*i+1000))
+		entry := waiting.Enqueue(at(100*i), 0, at(100*i+1000))
 		waiting.Admit(at(100*(i+1)), entry)
 	}
 	const now = 2000
-	require.NotNil(t, waiting.Join(at(now), 0, at(now+400)))
-	require.NotNil(t, waiting.Join(at(now), 0, at(now+410)))
-	require.Nil(t, waiting.Join(at(now), 1, at(now+150)), "two go before it, and a place comes each 100 ms")
-	require.InDelta(t, 300, waiting.Expected(at(now), 1).Milliseconds(), 20)
-	require.InDelta(t, 1200, waiting.Expected(at(now+1000), 1).Milliseconds(), 20, "none has come for a second")
+	require.NotNil(t, waiting.Enqueue(at(now), 0, at(now+400)))
+	require.NotNil(t, waiting.Enqueue(at(now), 0, at(now+410)))
+	require.Nil(t, waiting.Enqueue(at(now), 1, at(now+150)), "two go before it, and a place comes each 100 ms")
+	require.InDelta(t, 300, waiting.ExpectedWait(at(now), 1).Milliseconds(), 20)
+	require.InDelta(t, 1200, waiting.ExpectedWait(at(now+1000), 1).Milliseconds(), 20, "none has come for a second")
 }
 
-func TestAPlaceIsWaitedForAsLongAsThoseWaitedThatGotOne(t *testing.T) {
+func TestWaitIsBoundedByAdmittedWaits(t *testing.T) {
 	waiting := New(8)
-	unknown := waiting.Join(at(0), 0, at(60000))
-	require.False(t, waiting.InVain(at(399), unknown))
-	require.True(t, waiting.InVain(at(401), unknown))
-	waiting.Leave(unknown)
+	unknown := waiting.Enqueue(at(0), 0, at(60000))
+	require.False(t, waiting.ShouldReject(at(399), unknown))
+	require.True(t, waiting.ShouldReject(at(401), unknown))
+	waiting.Remove(unknown)
 	now := 1000
 	for range 60 {
-		entry := waiting.Join(at(now), 0, at(now+60000))
+		entry := waiting.Enqueue(at(now), 0, at(now+60000))
 		now += 150
 		waiting.Admit(at(now), entry)
 	}
-	known := waiting.Join(at(now), 0, at(now+60000))
-	require.False(t, waiting.InVain(at(now+140), known))
-	require.True(t, waiting.InVain(at(now+250), known))
+	known := waiting.Enqueue(at(now), 0, at(now+60000))
+	require.False(t, waiting.ShouldReject(at(now+140), known))
+	require.True(t, waiting.ShouldReject(at(now+250), known))
 }
 
-func TestAFullBacklogKeepsTheMoreUrgent(t *testing.T) {
+func TestFullBacklogEvictsLowestPriority(t *testing.T) {
 	waiting := New(2)
-	waiting.Join(at(0), 1, at(900))
-	last := waiting.Join(at(0), 1, at(950))
-	require.Nil(t, waiting.Join(at(0), 1, at(990)))
-	require.NotNil(t, waiting.Join(at(0), 0, at(990)))
-	require.True(t, waiting.InVain(at(0), last), "it had to give way")
-	require.False(t, waiting.Leave(last))
+	waiting.Enqueue(at(0), 1, at(900))
+	last := waiting.Enqueue(at(0), 1, at(950))
+	require.Nil(t, waiting.Enqueue(at(0), 1, at(990)))
+	require.NotNil(t, waiting.Enqueue(at(0), 0, at(990)))
+	require.True(t, waiting.ShouldReject(at(0), last), "it had to give way")
+	require.False(t, waiting.Remove(last))
 	require.Equal(t, 2, waiting.Len())
 }
 
@@ -82,9 +82,9 @@
 	serial int
 }
 
-// TestABacklogAgreesWithASlowOracle plays requests that come, get places, leave and give
+// TestBacklogAgreesWithReference plays requests that come, get places, leave and give
 // way, against a list that is sorted anew each time.
-func TestABacklogAgreesWithASlowOracle(t *testing.T) {
+func TestBacklogAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 5
 		waiting, now, serial := New(limit), 0, 0
@@ -104,7 +104,7 @@
 			"join": func(t *rapid.T) {
 				rank := rapid.IntRange(0, 2).Draw(t, "rank")
 				latest := at(now + rapid.IntRange(0, 3000).Draw(t, "time left"))
-				entry := waiting.Join(at(now), rank, latest)
+				entry := waiting.Enqueue(at(now), rank, latest)
 				if entry == nil {
 					return
 				}
@@ -128,14 +128,14 @@
 					return
 				}
 				i := rapid.IntRange(0, len(oracle)-1).Draw(t, "which")
-				require.True(t, waiting.Leave(oracle[i].entry))
+				require.True(t, waiting.Remove(oracle[i].entry))
 				oracle = slices.Delete(oracle, i, i+1)
 			},
 			"ask in vain": func(t *rapid.T) {
 				if first := waiting.First(); first != nil {
-					require.True(t, waiting.Leave(first))
-					waiting.Rejoin(first)
-					waiting.Rejoin(first)
+					require.True(t, waiting.Remove(first))
+					waiting.Requeue(first)
+					waiting.Requeue(first)
 					require.Same(t, oracle[0].entry, waiting.First())
 				}
 			},
@@ -144,7 +144,7 @@
 				require.Equal(t, len(oracle), waiting.Len())
 				for i, each := range oracle {
 					if each.latest.Before(at(now)) {
-						require.True(t, waiting.InVain(at(now), each.entry), fmt.Sprintf("entry %d is past its time", i))
+						require.True(t, waiting.ShouldReject(at(now), each.entry), fmt.Sprintf("entry %d is past its time", i))
 					}
 				}
 			},
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -45,20 +45,20 @@
 	Service string
 	// Tried are workers that this request is not to go to again.
 	Tried map[string]bool
-	// Partial is set where workers are left out of the list for reasons of this request
+	// Filtered is set where workers are left out of the list for reasons of this request
 	// alone, so that the list says nothing of what a region has left.
-	Partial bool
-	// Urgency ranks the request among others of its service, 0 first. Where the own region
+	Filtered bool
+	// PriorityRank ranks the request among others of its service, 0 first. Where the own region
 	// has no room for all, the least urgent leave it first.
-	Urgency int
-	// Left is how much time the request has; 0 is unknown.
-	Left time.Duration
-	// Usual is how long workers of the service usually take to begin an answer; 0 is
+	PriorityRank int
+	// Remaining is how much time the request has; 0 is unknown.
+	Remaining time.Duration
+	// TypicalLatency is how long workers of the service usually take to begin an answer; 0 is
 	// unknown.
-	Usual time.Duration
-	// Connected reports whether an idle connection to a worker's address is open; nil
+	TypicalLatency time.Duration
+	// HasIdleConnection reports whether an idle connection to a worker's address is open; nil
 	// reports none.
-	Connected func(address string) bool
+	HasIdleConnection func(address string) bool
 }
 
 // Balancer keeps the record of each worker. It is safe for concurrent use.
@@ -68,8 +68,8 @@
 	zone string
 	// places and times tell which region a worker is in and how far that is; where all are
 	// in one, nothing depends on them.
-	places distance.Places
-	times  *distance.Times
+	places distance.Topology
+	times  *distance.ZoneLatencies
 	rule   spillRule
 
 	mutex  sync.Mutex
@@ -105,12 +105,12 @@
 
 // New returns a balancer of a process in a zone, for workers that are all in one region.
 func New(now func() time.Time, zone string) *Balancer {
-	return NewAmong(now, zone, distance.NewTimes(distance.NewPlaces(zone, nil)), distance.Places{})
+	return NewMultiRegion(now, zone, distance.NewZoneLatencies(distance.NewTopology(zone, nil)), distance.Topology{})
 }
 
-// NewAmong returns a balancer for workers in several regions. times measures the ways to
+// NewMultiRegion returns a balancer for workers in several regions. times measures the ways to
 // workers; the workers of zone come first where there are many.
-func NewAmong(now func() time.Time, zone string, times *distance.Times, places distance.Places) *Balancer {
+func NewMultiRegion(now func() time.Time, zone string, times *distance.ZoneLatencies, places distance.Topology) *Balancer {
 	return &Balancer{
 		now: now, zone: zone, places: places, times: times, rule: byCost{},
 		record: make(map[string]*record), rates: make(map[string]*requestRate), spills: make(map[string]*spill), zones: make(map[string]*zoneField),
@@ -135,8 +135,8 @@
 	b.of(worker).inFlight++
 }
 
-// UnderWay returns how many requests of this process a worker has.
-func (b *Balancer) UnderWay(worker string) int {
+// InFlight returns how many requests of this process a worker has.
+func (b *Balancer) InFlight(worker string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if known := b.record[worker]; known != nil {
@@ -145,33 +145,33 @@
 	return 0
 }
 
-// Verdict is how an attempt at a worker ended.
-type Verdict int
+// AttemptResult is how an attempt at a worker ended.
+type AttemptResult int
 
 // The verdicts.
 const (
 	// Served attempts got an answer of the worker's own.
-	Served Verdict = iota
+	Served AttemptResult = iota
 	// Turned away attempts met a worker that is full.
-	TurnedAway
+	Rejected
 	// Failed attempts got no answer, or a broken one.
 	Failed
 	// Unreachable attempts never reached the worker.
 	Unreachable
-	// Erring attempts got an answer that tells of a failure of the worker's own.
-	Erring
-	// Abandoned attempts were cancelled from here.
-	Abandoned
+	// WorkerError attempts got an answer that tells of a failure of the worker's own.
+	WorkerError
+	// Canceled attempts were cancelled from here.
+	Canceled
 )
 
 var verdictNames = [...]string{"served", "turned_away", "failed", "unreachable", "erring", "abandoned"}
 
 // String returns the verdict's name in logs and metrics.
-func (v Verdict) String() string { return verdictNames[v] }
+func (v AttemptResult) String() string { return verdictNames[v] }
 
 // Done ends an attempt that Choose began, and reports whether the worker was
 // ejected by it.
-func (b *Balancer) Done(worker string, verdict Verdict) bool {
+func (b *Balancer) Done(worker string, verdict AttemptResult) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	known := b.of(worker)
@@ -179,24 +179,24 @@
 	b.observe(worker, verdict)
 	b.observeRegion(known, verdict)
 	switch verdict {
-	case Served, TurnedAway:
+	case Served, Rejected:
 		known.failing *= 1 - failureWeight
 		if known.failing < goodShare {
 			known.ejects = 0
 		}
-	case Failed, Erring:
+	case Failed, WorkerError:
 		return b.failed(known)
 	case Unreachable:
 		known.failing = max(known.failing, returnShare)
 		return b.failed(known)
-	case Abandoned:
+	case Canceled:
 	}
 	return false
 }
 
-// Silent notes that an attempt has waited for longer than it should, and reports
+// RecordLateStart notes that an attempt has waited for longer than it should, and reports
 // whether the worker was ejected by it. The attempt goes on.
-func (b *Balancer) Silent(worker string) bool {
+func (b *Balancer) RecordLateStart(worker string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.failed(b.of(worker))
@@ -214,9 +214,9 @@
 	return true
 }
 
-// Forget drops the records of workers that are not listed and have nothing
+// Prune drops the records of workers that are not listed and have nothing
 // under way.
-func (b *Balancer) Forget(listed func(worker string) bool) {
+func (b *Balancer) Prune(listed func(worker string) bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	for id, known := range b.record {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -10,10 +10,10 @@
 	"github.com/barleyshelf/barleyshelf/internal/directory"
 )
 
-func workers(count int) []*directory.Listed {
-	var listed []*directory.Listed
+func workers(count int) []*directory.WorkerRecord {
+	var listed []*directory.WorkerRecord
 	for i := range count {
-		listed = append(listed, &directory.Listed{Worker: directory.Worker{ID: fmt.Sprintf("w%d", i)}})
+		listed = append(listed, &directory.WorkerRecord{Worker: directory.Worker{ID: fmt.Sprintf("w%d", i)}})
 	}
 	return listed
 }
@@ -23,13 +23,13 @@
 	return &now, func() time.Time { return now }
 }
 
-func choose(t *testing.T, b *Balancer, listed []*directory.Listed, request Request) string {
+func choose(t *testing.T, b *Balancer, listed []*directory.WorkerRecord, request Request) string {
 	chosen, found := b.Choose(listed, request)
 	require.True(t, found)
 	return chosen.ID
 }
 
-func TestEveryBalancerPrefersTheSameWorkerForAProgram(t *testing.T) {
+func TestAffinityIsTheSameInAllBalancers(t *testing.T) {
 	_, now := fixed()
 	one, other := New(now, ""), New(now, "")
 	used := map[string]bool{}
@@ -44,7 +44,7 @@
 	require.Len(t, used, 5, "programs spread over all workers")
 }
 
-func TestAffinityGivesWayToLoad(t *testing.T) {
+func TestLoadOverridesAffinity(t *testing.T) {
 	_, now := fixed()
 	b := New(now, "")
 	counts := map[string]int{}
@@ -57,7 +57,7 @@
 	require.Len(t, counts, 3)
 }
 
-func TestRequestsWithoutAffinityGoToTheLeastLoaded(t *testing.T) {
+func TestRequestsWithoutAffinityAreSpreadEvenly(t *testing.T) {
 	_, now := fixed()
 	b := New(now, "")
 	counts := map[string]int{}
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestATriedWorkerIsNotChosenAgain(t *testing.T) {
+func TestTriedWorkerIsNotChosen(t *testing.T) {
 	_, now := fixed()
 	b := New(now, "")
 	_, found := b.Choose(workers(2), Request{Tried: map[string]bool{"w0": true, "w1": true}})
@@ -77,7 +77,7 @@
 	require.Equal(t, "w1", choose(t, b, workers(2), Request{Tried: map[string]bool{"w0": true}}))
 }
 
-func TestAWorkerIsEjectedAfterFailuresInARowAndComesBack(t *testing.T) {
+func TestConsecutiveFailuresEjectTemporarily(t *testing.T) {
 	now, clock := fixed()
 	b := New(clock, "")
 	only := Request{Tried: map[string]bool{"w1": true, "w2": true}}
@@ -95,12 +95,12 @@
 	for range 20 {
 		id := choose(t, b, workers(3), Request{})
 		seen[id] = true
-		b.Done(id, Abandoned)
+		b.Done(id, Canceled)
 	}
 	require.True(t, seen["w0"])
 }
 
-func TestAnEjectionGrowsWithEachRepeat(t *testing.T) {
+func TestRepeatedEjectionsGetLonger(t *testing.T) {
 	now, clock := fixed()
 	b := New(clock, "")
 	ejectedAt := func(id string) time.Duration { return b.of(id).ejectedUntil.Sub(*now) }
@@ -125,7 +125,7 @@
 	require.Equal(t, firstEject, ejectedAt("w0"), "a good record starts anew")
 }
 
-func TestAWorkerThatFailsHalfOfTheTimeIsEjected(t *testing.T) {
+func TestHighFailureRateEjects(t *testing.T) {
 	_, clock := fixed()
 	b := New(clock, "")
 	ejected := false
@@ -133,27 +133,27 @@
 		b.Begin("w0")
 		verdict := Served
 		if n%3 != 0 {
-			verdict = Erring
+			verdict = WorkerError
 		}
 		ejected = b.Done("w0", verdict)
 	}
 	require.True(t, ejected, "answers in between do not wipe its record out")
 }
 
-func TestARareFailureEjectsNobody(t *testing.T) {
+func TestLowFailureRateDoesNotEject(t *testing.T) {
 	_, clock := fixed()
 	b := New(clock, "")
 	for n := range 400 {
 		b.Begin("w0")
 		verdict := Served
 		if n%10 == 0 {
-			verdict = Erring
+			verdict = WorkerError
 		}
 		require.False(t, b.Done("w0", verdict))
 	}
 }
 
-func TestASlowWorkerGetsNoWorkUntilItIsTriedAgain(t *testing.T) {
+func TestSlowWorkerIsAvoidedUntilLatencyExpires(t *testing.T) {
 	now, clock := fixed()
 	b := New(clock, "")
 	for range paceSamples {
@@ -162,7 +162,7 @@
 			if each.ID == "w0" {
 				took = 0.8
 			}
-			b.Answered(each.ID, took)
+			b.ObserveLatency(each.ID, took)
 		}
 	}
 	counts := func() map[string]int {
@@ -170,7 +170,7 @@
 		for range 50 {
 			id := choose(t, b, workers(5), Request{})
 			seen[id]++
-			b.Done(id, Abandoned)
+			b.Done(id, Canceled)
 		}
 		return seen
 	}
@@ -179,34 +179,34 @@
 	require.NotZero(t, counts()["w0"], "its pace is forgotten")
 }
 
-func TestWorkersThatAreAllSlowAreNotSlow(t *testing.T) {
+func TestUniformlySlowWorkersAreAllUsed(t *testing.T) {
 	_, clock := fixed()
 	b := New(clock, "")
 	for range 10 {
 		for i, each := range workers(5) {
-			b.Answered(each.ID, 3+float64(i)/10)
+			b.ObserveLatency(each.ID, 3+float64(i)/10)
 		}
 	}
 	used := map[string]bool{}
 	for range 50 {
 		id := choose(t, b, workers(5), Request{})
 		used[id] = true
-		b.Done(id, Abandoned)
+		b.Done(id, Canceled)
 	}
 	require.Len(t, used, 5, "an overload is no outlier")
 }
 
-func TestSilenceCountsBeforeTheAttemptEnds(t *testing.T) {
+func TestLateStartCountsAsFailure(t *testing.T) {
 	_, clock := fixed()
 	b := New(clock, "")
 	b.Begin("w0")
 	b.Begin("w0")
-	require.False(t, b.Silent("w0"))
-	require.True(t, b.Silent("w0"))
+	require.False(t, b.RecordLateStart("w0"))
+	require.True(t, b.RecordLateStart("w0"))
 	require.Equal(t, 2, b.record["w0"].inFlight)
 }
 
-func TestAServiceIsNeverEmptiedByEjections(t *testing.T) {
+func TestEjectionsNeverExcludeAllWorkers(t *testing.T) {
 	_, now := fixed()
 	b := New(now, "")
 	for _, each := range workers(3) {
@@ -217,12 +217,12 @@
 	for range 20 {
 		id := choose(t, b, workers(3), Request{})
 		used[id] = true
-		b.Done(id, Abandoned)
+		b.Done(id, Canceled)
 	}
 	require.Len(t, used, 3)
 }
 
-func TestALapsedWorkerIsTheLastResort(t *testing.T) {
+func TestLapsedWorkerIsLastResort(t *testing.T) {
 	_, now := fixed()
 	b := New(now, "")
 	listed := workers(2)
@@ -233,13 +233,13 @@
 	require.Equal(t, "w0", choose(t, b, listed[:1], Request{}))
 }
 
-func TestForgetKeepsWhatIsUnderWay(t *testing.T) {
+func TestPruneKeepsWorkersWithRequestsInFlight(t *testing.T) {
 	_, now := fixed()
 	b := New(now, "")
 	b.Begin("busy")
 	b.Begin("idle")
 	b.Done("idle", Served)
-	b.Forget(func(string) bool { return false })
+	b.Prune(func(string) bool { return false })
 	require.Contains(t, b.record, "busy")
 	require.NotContains(t, b.record, "idle")
 }
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -15,29 +15,29 @@
 	directory.Worker
 	// Distance is how far the worker is.
 	Distance distance.Class
-	// Load is what the request is a part of.
-	Load Load
+	// RegionReason is what the request is a part of.
+	RegionReason RegionReason
 }
 
-// Load names what a choice answers.
-type Load string
+// RegionReason names what a choice answers.
+type RegionReason string
 
 // The loads.
 const (
-	// HomeLoad stays in the own region.
-	HomeLoad Load = "home"
-	// SpilledLoad is the share of the requests that the own region has no room for.
-	SpilledLoad Load = "spilled"
-	// TurnedAwayLoad was turned away by workers of the own region.
-	TurnedAwayLoad Load = "turned_away"
-	// HomelessLoad has no worker in the own region.
-	HomelessLoad Load = "homeless"
+	// LocalRegion stays in the own region.
+	LocalRegion RegionReason = "home"
+	// Spillover is the share of the requests that the own region has no room for.
+	Spillover RegionReason = "spilled"
+	// LocalRejected was turned away by workers of the own region.
+	LocalRejected RegionReason = "turned_away"
+	// NoLocalWorker has no worker in the own region.
+	NoLocalWorker RegionReason = "homeless"
 )
 
 // choice is one request's choice out of a list.
 type choice struct {
 	now     time.Time
-	workers []*directory.Listed
+	workers []*directory.WorkerRecord
 	request Request
 	// homeListed and homeTried count the workers of the own region that are listed, and those
 	// of them that the request is not to go to again.
@@ -45,7 +45,7 @@
 }
 
 // at returns the worker of a candidate.
-func (c *choice) at(each *candidate) *directory.Listed { return c.workers[each.index] }
+func (c *choice) at(each *candidate) *directory.WorkerRecord { return c.workers[each.index] }
 
 // candidate is a worker of a choice's list.
 type candidate struct {
@@ -78,7 +78,7 @@
 
 // Choose returns a worker and counts the request as under way there, or false
 // if there is none. Done must be called for it.
-func (b *Balancer) Choose(workers []*directory.Listed, request Request) (Decision, bool) {
+func (b *Balancer) Choose(workers []*directory.WorkerRecord, request Request) (Decision, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.turn++
@@ -99,7 +99,7 @@
 	known := b.of(chosen.ID)
 	known.inFlight++
 	known.service, known.region = request.Service, b.places.Region(chosen.Zone)
-	return Decision{Worker: chosen, Distance: b.places.Class(chosen.Zone), Load: load}, true
+	return Decision{Worker: chosen, Distance: b.places.Class(chosen.Zone), RegionReason: load}, true
 }
 
 // candidates returns the workers that may be chosen. Ejected and slow workers are left out,
@@ -137,7 +137,7 @@
 // is held.
 func (b *Balancer) survey(choice *choice) {
 	b.field, b.paces = b.field[:0], b.paces[:0]
-	several := b.places.SeveralRegions()
+	several := b.places.MultiRegion()
 	for i := range choice.workers {
 		worker := choice.workers[i]
 		known := b.record[worker.ID]
--- a/internal/balance/large_test.go
+++ b/internal/balance/large_test.go
@@ -12,19 +12,19 @@
 )
 
 // spreadOver returns so many workers, dealt out over so many zones.
-func spreadOver(workers, zones int) []*directory.Listed {
-	listed := make([]*directory.Listed, workers)
+func spreadOver(workers, zones int) []*directory.WorkerRecord {
+	listed := make([]*directory.WorkerRecord, workers)
 	for i := range listed {
-		listed[i] = &directory.Listed{Worker: directory.Worker{ID: fmt.Sprintf("worker-%05d", i), Zone: fmt.Sprintf("zone-%d", i%zones)}}
+		listed[i] = &directory.WorkerRecord{Worker: directory.Worker{ID: fmt.Sprintf("worker-%05d", i), Zone: fmt.Sprintf("zone-%d", i%zones)}}
 	}
 	return listed
 }
 
-func benchmarkChoice(b *testing.B, balancer *Balancer, listed []*directory.Listed) {
+func benchmarkChoice(b *testing.B, balancer *Balancer, listed []*directory.WorkerRecord) {
 	b.ReportAllocs()
 	for turn := 0; b.Loop(); turn++ {
 		chosen, _ := balancer.Choose(listed, Request{Service: "s", Affinity: "program"})
-		balancer.Answered(chosen.ID, 1)
+		balancer.ObserveLatency(chosen.ID, 1)
 		balancer.Done(chosen.ID, Served)
 	}
 }
@@ -47,8 +47,8 @@
 }
 
 func amongRegions(zones, regions int) *Balancer {
-	places := distance.NewPlaces("zone-1", inRegions(zones, regions))
-	return NewAmong(time.Now, "zone-1", distance.NewTimes(places), places)
+	places := distance.NewTopology("zone-1", inRegions(zones, regions))
+	return NewMultiRegion(time.Now, "zone-1", distance.NewZoneLatencies(places), places)
 }
 
 func BenchmarkChooseOf40In3Regions(b *testing.B) {
@@ -59,14 +59,14 @@
 	benchmarkChoice(b, amongRegions(17, 6), spreadOver(11_000, 17))
 }
 
-func TestTheChoiceAllocatesNothing(t *testing.T) {
+func TestChooseDoesNotAllocate(t *testing.T) {
 	_, clock := fixed()
-	places := distance.NewPlaces("zone-1", inRegions(17, 6))
-	b := NewAmong(clock, "zone-1", distance.NewTimes(places), places)
+	places := distance.NewTopology("zone-1", inRegions(17, 6))
+	b := NewMultiRegion(clock, "zone-1", distance.NewZoneLatencies(places), places)
 	listed := spreadOver(2000, 17)
 	each := func() {
 		chosen, _ := b.Choose(listed, Request{Service: "s", Affinity: "program"})
-		b.Done(chosen.ID, Abandoned)
+		b.Done(chosen.ID, Canceled)
 	}
 	each()
 	require.Zero(t, testing.AllocsPerRun(20, each))
--- a/internal/balance/model_test.go
+++ b/internal/balance/model_test.go
@@ -135,7 +135,7 @@
 	queue    modelQueue
 	events   int
 	gateways map[string][]*Balancer
-	listed   []*directory.Listed
+	listed   []*directory.WorkerRecord
 	running  map[string]int
 	// prompts is the worker that had a program's last turn.
 	prompts map[string]string
@@ -156,20 +156,20 @@
 	for _, region := range []string{"a", "b", "c"} {
 		for i := range modelGateways {
 			zone := fmt.Sprint(region, 1+i%2)
-			places := distance.NewPlaces(zone, modelRegions)
+			places := distance.NewTopology(zone, modelRegions)
 			if way.flat {
-				places = distance.Places{}
+				places = distance.Topology{}
 			}
-			times := distance.NewTimes(places)
+			times := distance.NewZoneLatencies(places)
 			for other, of := range modelRegions {
 				times.Observe(m.now, other, 2*wayBetween(region, of))
 			}
-			balancer := NewAmong(clock, "", times, places)
+			balancer := NewMultiRegion(clock, "", times, places)
 			balancer.rule = way.rule
 			m.gateways[region] = append(m.gateways[region], balancer)
 		}
 		for i := range modelWorkers {
-			m.listed = append(m.listed, &directory.Listed{Worker: directory.Worker{ID: fmt.Sprint(region, "-", i), Zone: fmt.Sprint(region, 1+i%2)}})
+			m.listed = append(m.listed, &directory.WorkerRecord{Worker: directory.Worker{ID: fmt.Sprint(region, "-", i), Zone: fmt.Sprint(region, 1+i%2)}})
 		}
 	}
 	return m
@@ -208,7 +208,7 @@
 }
 
 // workers returns those that are listed now.
-func (m *model) workers() []*directory.Listed {
+func (m *model) workers() []*directory.WorkerRecord {
 	if !m.inTrouble() {
 		return m.listed
 	}
@@ -242,7 +242,7 @@
 		return
 	}
 	request := Request{
-		Affinity: turn.program, Service: "s", Tried: turn.tried, Left: modelDeadline - waited, Usual: modelWork, Urgency: 1,
+		Affinity: turn.program, Service: "s", Tried: turn.tried, Remaining: modelDeadline - waited, TypicalLatency: modelWork, PriorityRank: 1,
 	}
 	if len(turn.tried) == modelTries {
 		clear(turn.tried)
@@ -263,7 +263,7 @@
 	if m.running[worker.ID] >= modelSlots {
 		m.after(way, func() {
 			turn.tried[worker.ID] = true
-			turn.gateway.Done(worker.ID, TurnedAway)
+			turn.gateway.Done(worker.ID, Rejected)
 			m.send(turn)
 		})
 		return
@@ -361,9 +361,9 @@
 	return mean
 }
 
-// TestWaysToChooseCompared plays each way in each trouble. The default one must be no
+// TestCostPolicyOutperformsAlternatives plays each way in each trouble. The default one must be no
 // slower, cross regions no more often and swing less than the others.
-func TestWaysToChooseCompared(t *testing.T) {
+func TestCostPolicyOutperformsAlternatives(t *testing.T) {
 	figures := make(map[string]map[string]modelFigures)
 	for _, trouble := range troubles {
 		figures[trouble.name] = make(map[string]modelFigures)
--- a/internal/balance/near.go
+++ b/internal/balance/near.go
@@ -106,12 +106,12 @@
 // connection that is open already, or all where there is none. Each process begins with
 // workers of its own, drawn at random, so that processes do not gather at the same ones.
 func connectedOf(choice *choice, near []candidate) []candidate {
-	if choice.request.Affinity != "" || choice.request.Connected == nil {
+	if choice.request.Affinity != "" || choice.request.HasIdleConnection == nil {
 		return near
 	}
 	connected := 0
 	for i, each := range near {
-		if choice.request.Connected(choice.at(&each).Address) {
+		if choice.request.HasIdleConnection(choice.at(&each).Address) {
 			near[connected], near[i] = near[i], near[connected]
 			connected++
 		}
--- a/internal/balance/near_test.go
+++ b/internal/balance/near_test.go
@@ -11,11 +11,11 @@
 )
 
 // zonedWorkers returns so many workers in each of the zones "a" to "f".
-func zonedWorkers(each int) []*directory.Listed {
-	var listed []*directory.Listed
+func zonedWorkers(each int) []*directory.WorkerRecord {
+	var listed []*directory.WorkerRecord
 	for _, zone := range []string{"a", "b", "c", "d", "e", "f"} {
 		for i := range each {
-			listed = append(listed, &directory.Listed{Worker: directory.Worker{ID: fmt.Sprintf("%s%d", zone, i), Zone: zone}})
+			listed = append(listed, &directory.WorkerRecord{Worker: directory.Worker{ID: fmt.Sprintf("%s%d", zone, i), Zone: zone}})
 		}
 	}
 	return listed
@@ -23,7 +23,7 @@
 
 // zonesUsed sends requests one after another, so many a second, and returns how many
 // went to each zone.
-func zonesUsed(t *testing.T, b *Balancer, now *time.Time, listed []*directory.Listed, perSecond float64) map[string]int {
+func zonesUsed(t *testing.T, b *Balancer, now *time.Time, listed []*directory.WorkerRecord, perSecond float64) map[string]int {
 	zones := make(map[string]int)
 	for n := range 400 {
 		*now = now.Add(time.Duration(float64(time.Second) / perSecond))
@@ -35,13 +35,13 @@
 	return zones
 }
 
-func TestAGatewayWithFewRequestsForManyWorkersUsesThoseOfItsZone(t *testing.T) {
+func TestLowRatePrefersLocalZone(t *testing.T) {
 	now, clock := fixed()
 	zones := zonesUsed(t, New(clock, "c"), now, zonedWorkers(17), 4)
 	require.Equal(t, map[string]int{"c": 400}, zones)
 }
 
-func TestAGatewayWithRequestsForAllWorkersUsesAll(t *testing.T) {
+func TestHighRateUsesAllZones(t *testing.T) {
 	now, clock := fixed()
 	b := New(clock, "c")
 	zonesUsed(t, b, now, zonedWorkers(2), 10)
@@ -49,9 +49,9 @@
 	require.Len(t, zones, 6)
 }
 
-// TestABeginOfLoadIsSeenAfterAFewRequests holds that a process which was idle does not send
+// TestRisingRateIsDetectedAfterFewRequests holds that a process which was idle does not send
 // the first second of its load to its own zone alone.
-func TestABeginOfLoadIsSeenAfterAFewRequests(t *testing.T) {
+func TestRisingRateIsDetectedAfterFewRequests(t *testing.T) {
 	const perSecond, few = 25, 4
 	now, clock := fixed()
 	b := New(clock, "c")
@@ -69,7 +69,7 @@
 	require.Greater(t, elsewhere, (perSecond-few)/2, "five of six workers are elsewhere")
 }
 
-func TestTheOtherZonesTakeWhatTheOwnHasNoRoomFor(t *testing.T) {
+func TestOtherZonesServeExcessLoad(t *testing.T) {
 	now, clock := fixed()
 	b := New(clock, "c")
 	listed := zonedWorkers(3)
@@ -85,7 +85,7 @@
 	require.Greater(t, len(zones), 1)
 }
 
-func TestTheOtherZonesTakeOverWhereTheOwnIsInTrouble(t *testing.T) {
+func TestOtherZonesServeWhenLocalZoneIsUnhealthy(t *testing.T) {
 	now, clock := fixed()
 	b := New(clock, "c")
 	listed := zonedWorkers(4)
@@ -97,7 +97,7 @@
 	require.Greater(t, len(zones), 1, "one of four workers left would take the whole zone's work")
 }
 
-func TestRatesFallByThemselves(t *testing.T) {
+func TestRequestRateDecays(t *testing.T) {
 	now, _ := fixed()
 	var rate requestRate
 	for range 600 {
@@ -108,7 +108,7 @@
 	require.Less(t, rate.now(now.Add(3*slowRateMemory)), 1.5)
 }
 
-func TestARequestThatMayGoAnywhereUsesAnOpenConnection(t *testing.T) {
+func TestRequestWithoutAffinityUsesIdleConnection(t *testing.T) {
 	_, clock := fixed()
 	b := New(clock, "c")
 	connected := func(address string) bool { return address == "c1" || address == "d1" }
@@ -116,7 +116,7 @@
 	for i := range listed {
 		listed[i].Address = listed[i].ID
 	}
-	request := Request{Service: "s", Connected: connected}
+	request := Request{Service: "s", HasIdleConnection: connected}
 	for range 1 + nearSlack {
 		require.Equal(t, "c1", choose(t, b, listed, request))
 	}
--- a/internal/balance/pace.go
+++ b/internal/balance/pace.go
@@ -41,9 +41,9 @@
 	return p.samples >= paceSamples && now.Sub(p.at) <= paceMemory
 }
 
-// Answered notes how long a worker took, as a multiple of what the route aims
+// ObserveLatency notes how long a worker took, as a multiple of what the route aims
 // at: work of different routes then compares.
-func (b *Balancer) Answered(worker string, took float64) {
+func (b *Balancer) ObserveLatency(worker string, took float64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.of(worker).pace.add(b.now(), took)
--- a/internal/balance/reference_test.go
+++ b/internal/balance/reference_test.go
@@ -18,12 +18,12 @@
 // listedCandidate and the functions after it are the choice within one region, written for
 // clearness: all lists are made, and ordered by rank. Choose must agree with it.
 type listedCandidate struct {
-	worker *directory.Listed
+	worker *directory.WorkerRecord
 	load   int
 	rank   uint64
 }
 
-func (b *Balancer) chooseByLists(workers []*directory.Listed, request Request) (directory.Worker, bool) {
+func (b *Balancer) chooseByLists(workers []*directory.WorkerRecord, request Request) (directory.Worker, bool) {
 	b.turn++
 	b.rateOf(request.Service).count(b.now())
 	candidates := b.listCandidates(workers, request)
@@ -39,7 +39,7 @@
 }
 
 // zonesOf returns how many workers each zone has.
-func zonesOf(workers []*directory.Listed) map[string]int {
+func zonesOf(workers []*directory.WorkerRecord) map[string]int {
 	zones := make(map[string]int)
 	for _, worker := range workers {
 		zones[worker.Zone]++
@@ -68,7 +68,7 @@
 
 // listCandidates returns the workers that may be chosen, by rank. Ejected and slow
 // workers are left out, unless they are more than maxEjected of the service.
-func (b *Balancer) listCandidates(workers []*directory.Listed, request Request) []listedCandidate {
+func (b *Balancer) listCandidates(workers []*directory.WorkerRecord, request Request) []listedCandidate {
 	now := b.now()
 	typical := b.typicalPaceOfList(now, workers)
 	var usable, lapsed, ejected []listedCandidate
@@ -155,11 +155,11 @@
 // connection that is open already. Each process begins with workers of its own, drawn at
 // random, so that processes do not gather at the same ones.
 func connectedOfList(near []listedCandidate, request Request) (connected []listedCandidate) {
-	if request.Affinity != "" || request.Connected == nil {
+	if request.Affinity != "" || request.HasIdleConnection == nil {
 		return nil
 	}
 	for _, each := range near {
-		if request.Connected(each.worker.Address) {
+		if request.HasIdleConnection(each.worker.Address) {
 			connected = append(connected, each)
 		}
 	}
@@ -168,7 +168,7 @@
 
 // typicalPaceOfList is the median of the known paces; 0 where fewer than three are
 // known.
-func (b *Balancer) typicalPaceOfList(now time.Time, workers []*directory.Listed) float64 {
+func (b *Balancer) typicalPaceOfList(now time.Time, workers []*directory.WorkerRecord) float64 {
 	const enough = 3
 	var known []float64
 	for _, worker := range workers {
@@ -187,19 +187,19 @@
 // than "a".
 var oneRegion = []map[string]string{nil, {"a": "r", "b": "r", "c": "r", "d": "r"}, {"b": "r", "c": "s"}}
 
-// TestWithinOneRegionTheChoiceIsThatOfTheLists holds for any history that the choice among
+// TestChooseAgreesWithReferenceInOneRegion holds for any history that the choice among
 // workers of one region, or of zones without regions, is the one made by lists.
-func TestWithinOneRegionTheChoiceIsThatOfTheLists(t *testing.T) {
+func TestChooseAgreesWithReferenceInOneRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
 		zone := rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
-		places := distance.NewPlaces("a", rapid.SampledFrom(oneRegion).Draw(t, "regions"))
-		made, wanted := NewAmong(clock, zone, distance.NewTimes(places), places), New(clock, zone)
-		listed := make([]*directory.Listed, rapid.IntRange(0, 24).Draw(t, "workers"))
+		places := distance.NewTopology("a", rapid.SampledFrom(oneRegion).Draw(t, "regions"))
+		made, wanted := NewMultiRegion(clock, zone, distance.NewZoneLatencies(places), places), New(clock, zone)
+		listed := make([]*directory.WorkerRecord, rapid.IntRange(0, 24).Draw(t, "workers"))
 		for i := range listed {
 			id := fmt.Sprint("w", i)
-			listed[i] = &directory.Listed{Worker: directory.Worker{ID: id, Address: id, Zone: string(rune('a' + i%4))}}
+			listed[i] = &directory.WorkerRecord{Worker: directory.Worker{ID: id, Address: id, Zone: string(rune('a' + i%4))}}
 			listed[i].Lapsed = rapid.IntRange(0, 9).Draw(t, "lapsed") == 0
 		}
 		connected := func(address string) bool { return len(address)%2 == 0 }
@@ -207,11 +207,11 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			request := Request{
 				Affinity: rapid.SampledFrom([]string{"", "p", "q", "r"}).Draw(t, "affinity"), Service: "s",
-				Tried: map[string]bool{fmt.Sprint("w", rapid.IntRange(0, 30).Draw(t, "tried")): true},
-				Left:  time.Second, Urgency: rapid.IntRange(0, 3).Draw(t, "urgency"),
+				Tried:     map[string]bool{fmt.Sprint("w", rapid.IntRange(0, 30).Draw(t, "tried")): true},
+				Remaining: time.Second, PriorityRank: rapid.IntRange(0, 3).Draw(t, "urgency"),
 			}
 			if rapid.Bool().Draw(t, "connections") {
-				request.Connected = connected
+				request.HasIdleConnection = connected
 			}
 			want, wantFound := wanted.chooseByLists(listed, request)
 			have, found := made.Choose(listed, request)
@@ -220,12 +220,12 @@
 			if !found {
 				continue
 			}
-			require.Equal(t, HomeLoad, have.Load)
-			verdict := Verdict(rapid.IntRange(int(Served), int(Abandoned)).Draw(t, "verdict"))
+			require.Equal(t, LocalRegion, have.RegionReason)
+			verdict := AttemptResult(rapid.IntRange(int(Served), int(Canceled)).Draw(t, "verdict"))
 			took := rapid.Float64Range(0.1, 4).Draw(t, "took")
 			goesOn := rapid.IntRange(0, 2).Draw(t, "goes on") == 0
 			for _, each := range []*Balancer{made, wanted} {
-				each.Answered(want.ID, took)
+				each.ObserveLatency(want.ID, took)
 				if !goesOn {
 					each.Done(want.ID, verdict)
 				}
--- a/internal/balance/shared.go
+++ b/internal/balance/shared.go
@@ -10,13 +10,13 @@
 // Observation is how this process's requests to one worker ended.
 type Observation struct {
 	Worker string
-	// Answers counts those that the worker answered, Failures those that it did not,
+	// Responses counts those that the worker answered, Failures those that it did not,
 	// or with a failure of its own.
-	Answers, Failures int
-	// Paced counts the answers whose time was measured, PaceSum adds their times up,
+	Responses, Failures int
+	// LatencySamples counts the answers whose time was measured, LatencyRatioSum adds their times up,
 	// each as a multiple of what its route aims at.
-	Paced   int
-	PaceSum float64
+	LatencySamples  int
+	LatencyRatioSum float64
 }
 
 // TakeObservations returns what was seen of each worker since the last call.
@@ -31,9 +31,9 @@
 	return taken
 }
 
-// Suspect passes workers over for suspectFor. Requests of one gateway in hundreds meet a
+// MarkSuspect passes workers over for suspectFor. Requests of one gateway in hundreds meet a
 // worker too seldom to find out alone that it has become slow.
-func (b *Balancer) Suspect(workers []string) {
+func (b *Balancer) MarkSuspect(workers []string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	until := b.now().Add(suspectFor)
@@ -43,11 +43,11 @@
 }
 
 // observe notes how a request to a worker ended. The mutex is held.
-func (b *Balancer) observe(worker string, verdict Verdict) {
+func (b *Balancer) observe(worker string, verdict AttemptResult) {
 	switch verdict {
 	case Served:
-		b.observation(worker).Answers++
-	case Failed, Erring, Unreachable:
+		b.observation(worker).Responses++
+	case Failed, WorkerError, Unreachable:
 		b.observation(worker).Failures++
 	}
 }
@@ -55,8 +55,8 @@
 // observePace notes how long a worker took. The mutex is held.
 func (b *Balancer) observePace(worker string, took float64) {
 	seen := b.observation(worker)
-	seen.Paced++
-	seen.PaceSum += took
+	seen.LatencySamples++
+	seen.LatencyRatioSum += took
 }
 
 func (b *Balancer) observation(worker string) *Observation {
--- a/internal/balance/shared_test.go
+++ b/internal/balance/shared_test.go
@@ -6,11 +6,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestASuspectIsPassedOverForAWhile(t *testing.T) {
+func TestSuspectIsAvoidedTemporarily(t *testing.T) {
 	now, clock := fixed()
 	b := New(clock, "")
 	listed := workers(4)
-	b.Suspect([]string{"w2"})
+	b.MarkSuspect([]string{"w2"})
 	for range 40 {
 		id := choose(t, b, listed, Request{})
 		require.NotEqual(t, "w2", id)
@@ -26,10 +26,10 @@
 	require.True(t, used["w2"], "it is tried again")
 }
 
-func TestWhereMostAreSuspectsAllTakeWork(t *testing.T) {
+func TestMostlySuspectWorkersAreAllUsed(t *testing.T) {
 	_, clock := fixed()
 	b := New(clock, "")
-	b.Suspect([]string{"w0", "w1", "w2"})
+	b.MarkSuspect([]string{"w0", "w1", "w2"})
 	used := make(map[string]bool)
 	for range 60 {
 		id := choose(t, b, workers(4), Request{})
@@ -39,16 +39,16 @@
 	require.Len(t, used, 4)
 }
 
-func TestWhatWasSeenIsToldOnce(t *testing.T) {
+func TestObservationsAreTakenOnce(t *testing.T) {
 	_, clock := fixed()
 	b := New(clock, "")
-	for _, verdict := range []Verdict{Served, Failed, Erring, Unreachable, Abandoned, TurnedAway} {
+	for _, verdict := range []AttemptResult{Served, Failed, WorkerError, Unreachable, Canceled, Rejected} {
 		b.Begin("w")
 		b.Done("w", verdict)
 	}
-	b.Answered("w", 1.5)
-	b.Answered("w", 0.5)
-	require.Equal(t, []Observation{{Worker: "w", Answers: 1, Failures: 3, Paced: 2, PaceSum: 2}}, b.TakeObservations(),
+	b.ObserveLatency("w", 1.5)
+	b.ObserveLatency("w", 0.5)
+	require.Equal(t, []Observation{{Worker: "w", Responses: 1, Failures: 3, LatencySamples: 2, LatencyRatioSum: 2}}, b.TakeObservations(),
 		"what the client or a full worker ended says nothing of the worker")
 	require.Empty(t, b.TakeObservations())
 }
--- a/internal/balance/spill.go
+++ b/internal/balance/spill.go
@@ -174,15 +174,15 @@
 }
 
 // observeRegion notes how an attempt at a worker ended. The mutex is held.
-func (b *Balancer) observeRegion(known *record, verdict Verdict) {
-	if known.region == "" || verdict == Abandoned {
+func (b *Balancer) observeRegion(known *record, verdict AttemptResult) {
+	if known.region == "" || verdict == Canceled {
 		return
 	}
 	ends := b.spillOf(known.service).ends
 	if ends[known.region] == nil {
 		ends[known.region] = &attemptEnds{}
 	}
-	ends[known.region].note(b.now(), verdict == TurnedAway)
+	ends[known.region].note(b.now(), verdict == Rejected)
 }
 
 // zoneField is what one choice knows of a zone.
@@ -209,12 +209,12 @@
 
 // byRegion returns the candidates of the region that a request goes to, and why. The mutex
 // is held.
-func (b *Balancer) byRegion(choice *choice, candidates []candidate) ([]candidate, Load) {
-	if !b.places.SeveralRegions() {
-		return candidates, HomeLoad
+func (b *Balancer) byRegion(choice *choice, candidates []candidate) ([]candidate, RegionReason) {
+	if !b.places.MultiRegion() {
+		return candidates, LocalRegion
 	}
 	load := b.loadOf(choice, candidates)
-	if load == HomeLoad {
+	if load == LocalRegion {
 		return keep(candidates, func(zone *zoneField) bool { return zone.class != distance.OtherRegion }), load
 	}
 	nearest := math.MaxInt
@@ -229,32 +229,32 @@
 }
 
 // loadOf returns what a request is a part of. The mutex is held.
-func (b *Balancer) loadOf(choice *choice, candidates []candidate) Load {
+func (b *Balancer) loadOf(choice *choice, candidates []candidate) RegionReason {
 	spill := b.spillOf(choice.request.Service)
-	if choice.homeTried == 0 && !choice.request.Partial {
-		spill.count(choice.now, choice.request.Urgency)
+	if choice.homeTried == 0 && !choice.request.Filtered {
+		spill.count(choice.now, choice.request.PriorityRank)
 	}
 	b.fillZones(choice.now, spill, candidates)
 	seen, home, elsewhere := b.look(choice, spill)
 	if elsewhere == 0 {
-		return HomeLoad
+		return LocalRegion
 	}
-	if !choice.request.Partial {
+	if !choice.request.Filtered {
 		spill.advance(b.rule, choice.now, seen)
 	}
 	switch {
 	case home == 0 && choice.homeTried > 0:
-		return TurnedAwayLoad
+		return LocalRejected
 	case home == 0:
-		return HomelessLoad
-	case choice.request.Left > 0 && choice.request.Left < leftFactor*seen.extra:
-		return HomeLoad
+		return NoLocalWorker
+	case choice.request.Remaining > 0 && choice.request.Remaining < leftFactor*seen.extra:
+		return LocalRegion
 	case choice.homeTried >= homeTries:
-		return TurnedAwayLoad
-	case spill.leaves(choice.now, choice.request.Urgency, b.place(choice.request.Affinity)):
-		return SpilledLoad
+		return LocalRejected
+	case spill.leaves(choice.now, choice.request.PriorityRank, b.place(choice.request.Affinity)):
+		return Spillover
 	}
-	return HomeLoad
+	return LocalRegion
 }
 
 // fullRank is added to the rank of zones whose workers turn many requests away: they come
@@ -275,7 +275,7 @@
 		if zone.candidates == 0 {
 			continue
 		}
-		zone.extra, zone.rank, zone.refused = view.Extra(name), view.Rank(name), spill.refused(now, zone.region)
+		zone.extra, zone.rank, zone.refused = view.ExtraLatency(name), view.Rank(name), spill.refused(now, zone.region)
 		if zone.refused > fullRefused {
 			zone.rank += fullRank
 		}
@@ -285,7 +285,7 @@
 // look returns what is known of the own region and of the nearest others, and how many
 // candidates there are in either. The mutex is held.
 func (b *Balancer) look(choice *choice, spill *spill) (seen sight, home, elsewhere int) {
-	seen.refused, seen.usual = spill.refused(choice.now, b.places.Region(b.places.Zone())), choice.request.Usual
+	seen.refused, seen.usual = spill.refused(choice.now, b.places.Region(b.places.OwnZone())), choice.request.TypicalLatency
 	for _, zone := range b.zones {
 		switch {
 		case zone.candidates == 0:
@@ -317,7 +317,7 @@
 // sharedByRegion reports whether a request goes to the same worker from all zones of the
 // region.
 func (b *Balancer) sharedByRegion(choice *choice, candidates []candidate) bool {
-	return b.places.SeveralRegions() && choice.request.Affinity != "" && len(candidates) <= sharedWorkers
+	return b.places.MultiRegion() && choice.request.Affinity != "" && len(candidates) <= sharedWorkers
 }
 
 // keep returns the candidates of wanted zones, in the same memory.
--- a/internal/balance/spill_test.go
+++ b/internal/balance/spill_test.go
@@ -13,11 +13,11 @@
 )
 
 // regionWorkers returns so many workers in each of the zones of modelRegions.
-func regionWorkers(each int) []*directory.Listed {
-	var listed []*directory.Listed
+func regionWorkers(each int) []*directory.WorkerRecord {
+	var listed []*directory.WorkerRecord
 	for _, zone := range []string{"a1", "a2", "b1", "b2", "c1", "c2"} {
 		for i := range each {
-			listed = append(listed, &directory.Listed{Worker: directory.Worker{ID: fmt.Sprint(zone, "-", i), Zone: zone}})
+			listed = append(listed, &directory.WorkerRecord{Worker: directory.Worker{ID: fmt.Sprint(zone, "-", i), Zone: zone}})
 		}
 	}
 	return listed
@@ -25,21 +25,21 @@
 
 // inZone returns a balancer of a zone that has measured 40 ms to region b and 90 ms to c.
 func inZone(clock func() time.Time, zone string) *Balancer {
-	places := distance.NewPlaces(zone, modelRegions)
-	times := distance.NewTimes(places)
+	places := distance.NewTopology(zone, modelRegions)
+	times := distance.NewZoneLatencies(places)
 	for other, took := range map[string]time.Duration{"a1": 1, "a2": 1, "b1": 41, "b2": 41, "c1": 91, "c2": 91} {
 		times.Observe(clock(), other, took*time.Millisecond)
 	}
-	return NewAmong(clock, zone, times, places)
+	return NewMultiRegion(clock, zone, times, places)
 }
 
-func decide(t *testing.T, b *Balancer, listed []*directory.Listed, request Request) Decision {
+func decide(t *testing.T, b *Balancer, listed []*directory.WorkerRecord, request Request) Decision {
 	decision, found := b.Choose(listed, request)
 	require.True(t, found)
 	return decision
 }
 
-func TestAllGatewaysOfARegionChooseTheSameWorkerForAProgram(t *testing.T) {
+func TestAffinityIsTheSameInAllZonesOfARegion(t *testing.T) {
 	_, clock := fixed()
 	one, other := inZone(clock, "a1"), inZone(clock, "a2")
 	used := make(map[string]bool)
@@ -47,7 +47,7 @@
 		request := Request{Service: "s", Affinity: fmt.Sprint("p", program)}
 		here, there := decide(t, one, regionWorkers(2), request), decide(t, other, regionWorkers(2), request)
 		require.Equal(t, here.ID, there.ID)
-		require.Equal(t, HomeLoad, here.Load)
+		require.Equal(t, LocalRegion, here.RegionReason)
 		require.Equal(t, "a", modelRegions[here.Zone])
 		one.Done(here.ID, Served)
 		other.Done(there.ID, Served)
@@ -56,29 +56,29 @@
 	require.Len(t, used, 4, "programs spread over the region")
 }
 
-// TestARequestThatMayNotUseItsRegionMovesNoOther holds that requests which are confined to
+// TestFilteredRequestsDoNotCauseSpillover holds that requests which are confined to
 // another region say nothing of what the own one has left.
-func TestARequestThatMayNotUseItsRegionMovesNoOther(t *testing.T) {
+func TestFilteredRequestsDoNotCauseSpillover(t *testing.T) {
 	_, clock := fixed()
 	b := inZone(clock, "a1")
 	all := regionWorkers(2)
-	var elsewhere []*directory.Listed
+	var elsewhere []*directory.WorkerRecord
 	for _, each := range all {
 		if modelRegions[each.Zone] == "b" {
 			elsewhere = append(elsewhere, each)
 		}
 	}
 	for n := range 50 {
-		confined := decide(t, b, elsewhere, Request{Service: "s", Affinity: fmt.Sprint("confined", n), Partial: true})
+		confined := decide(t, b, elsewhere, Request{Service: "s", Affinity: fmt.Sprint("confined", n), Filtered: true})
 		require.Equal(t, "b", modelRegions[confined.Zone])
 		b.Done(confined.ID, Served)
 		free := decide(t, b, all, Request{Service: "s", Affinity: fmt.Sprint("free", n)})
-		require.Equal(t, HomeLoad, free.Load)
+		require.Equal(t, LocalRegion, free.RegionReason)
 		b.Done(free.ID, Served)
 	}
 }
 
-func TestARequestWithoutAffinityStaysInItsZone(t *testing.T) {
+func TestRequestWithoutAffinityStaysInLocalZone(t *testing.T) {
 	now, clock := fixed()
 	b := inZone(clock, "a2")
 	for range 20 {
@@ -90,19 +90,19 @@
 	}
 }
 
-func TestWhereTheRegionIsGoneTheNearestByTimeTakesOver(t *testing.T) {
+func TestNearestRegionServesWithoutLocalWorkers(t *testing.T) {
 	_, clock := fixed()
 	b := inZone(clock, "a1")
 	listed := regionWorkers(2)[4:]
 	for program := range 40 {
-		decision := decide(t, b, listed, Request{Service: "s", Affinity: fmt.Sprint(program), Left: time.Millisecond})
-		require.Equal(t, HomelessLoad, decision.Load)
+		decision := decide(t, b, listed, Request{Service: "s", Affinity: fmt.Sprint(program), Remaining: time.Millisecond})
+		require.Equal(t, NoLocalWorker, decision.RegionReason)
 		require.Equal(t, "b", modelRegions[decision.Zone])
 		b.Done(decision.ID, Served)
 	}
 }
 
-func TestWhereTheNearestIsFullTheNextTakesOver(t *testing.T) {
+func TestNextRegionServesWhenNearestIsFull(t *testing.T) {
 	_, clock := fixed()
 	b := inZone(clock, "a1")
 	listed := regionWorkers(2)[4:]
@@ -114,30 +114,30 @@
 			b.Done(decision.ID, Served)
 			continue
 		}
-		b.Done(decision.ID, TurnedAway)
+		b.Done(decision.ID, Rejected)
 	}
 	require.True(t, next)
 }
 
-func TestARequestThatItsRegionTurnsAwayLeavesItWhileThereIsTime(t *testing.T) {
+func TestRejectedRequestLeavesRegionIfTimeRemains(t *testing.T) {
 	_, clock := fixed()
 	request := func(left time.Duration) Decision {
 		b := inZone(clock, "a1")
-		asked := Request{Service: "s", Affinity: "p", Tried: make(map[string]bool), Left: left}
+		asked := Request{Service: "s", Affinity: "p", Tried: make(map[string]bool), Remaining: left}
 		for range homeTries {
 			decision := decide(t, b, regionWorkers(3), asked)
-			require.Equal(t, HomeLoad, decision.Load)
-			b.Done(decision.ID, TurnedAway)
+			require.Equal(t, LocalRegion, decision.RegionReason)
+			b.Done(decision.ID, Rejected)
 			asked.Tried[decision.ID] = true
 		}
 		return decide(t, b, regionWorkers(3), asked)
 	}
-	require.Equal(t, TurnedAwayLoad, request(time.Second).Load)
+	require.Equal(t, LocalRejected, request(time.Second).RegionReason)
 	require.Equal(t, distance.OtherRegion, request(time.Second).Distance)
-	require.Equal(t, HomeLoad, request(leftFactor*40*time.Millisecond-1).Load, "most of its time would go by on the way")
+	require.Equal(t, LocalRegion, request(leftFactor*40*time.Millisecond-1).RegionReason, "most of its time would go by on the way")
 }
 
-func TestTheLeastUrgentLeaveFirst(t *testing.T) {
+func TestLowestPrioritySpillsFirst(t *testing.T) {
 	now, clock := fixed()
 	b := inZone(clock, "a1")
 	spill := b.spillOf("s")
@@ -163,7 +163,7 @@
 	require.Equal(t, 1000, leaving(1, 0))
 }
 
-func TestTheSameProgramsLeaveAtEachShare(t *testing.T) {
+func TestSpilloverIsMonotonicPerProgram(t *testing.T) {
 	now, clock := fixed()
 	one, other := inZone(clock, "a1"), inZone(clock, "a2")
 	for program := range 200 {
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestAShareIsAShare holds for any sight that the share stays between none and all, leaves
+// TestSpilloverShareStaysInBounds holds for any sight that the share stays between none and all, leaves
 // nobody at home where nothing is usable, and falls no faster than it may.
-func TestAShareIsAShare(t *testing.T) {
+func TestSpilloverShareStaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.Float64Range(0, 1)
 		seen := sight{
@@ -203,7 +203,7 @@
 	})
 }
 
-func TestNothingKnownIsNoReasonToLeave(t *testing.T) {
+func TestNoSpilloverWithoutObservations(t *testing.T) {
 	require.Zero(t, byCost{}.next(0, time.Second, sight{usable: 1}))
 	require.InDelta(t, 0.5-fallRate, byCost{}.next(0.5, time.Second, sight{usable: 1}), 1e-9)
 }
--- a/internal/balance/subset.go
+++ b/internal/balance/subset.go
@@ -47,8 +47,8 @@
 // NewSubsetSizes returns sizes that nothing has been seen of.
 func NewSubsetSizes(now func() time.Time) *SubsetSizes { return &SubsetSizes{now: now} }
 
-// Of returns of how many workers of each zone requests of a service choose.
-func (s *SubsetSizes) Of(service string) int { return int(s.of(service).size.Load()) }
+// Estimate returns of how many workers of each zone requests of a service choose.
+func (s *SubsetSizes) Size(service string) int { return int(s.of(service).size.Load()) }
 
 func (s *SubsetSizes) of(service string) *subsetSize {
 	if known, found := s.services.Load(service); found {
@@ -60,16 +60,16 @@
 	return known.(*subsetSize)
 }
 
-// Note takes how an attempt ended at a worker of a service that has so many workers.
-func (s *SubsetSizes) Note(service string, verdict Verdict, workers int) {
-	if verdict == Abandoned {
+// Observe takes how an attempt ended at a worker of a service that has so many workers.
+func (s *SubsetSizes) Observe(service string, verdict AttemptResult, workers int) {
+	if verdict == Canceled {
 		return
 	}
 	known, now := s.of(service), s.now()
 	known.mutex.Lock()
 	defer known.mutex.Unlock()
 	known.all.count(now, subsetMemory)
-	if verdict == TurnedAway || verdict == Failed || verdict == Unreachable {
+	if verdict == Rejected || verdict == Failed || verdict == Unreachable {
 		known.unfit.count(now, subsetMemory)
 	}
 	known.size.Store(known.next(now, int64(workers)))
@@ -92,8 +92,8 @@
 	return size
 }
 
-// Forget drops the services that are not declared.
-func (s *SubsetSizes) Forget(declared func(service string) bool) {
+// Prune drops the services that are not declared.
+func (s *SubsetSizes) Prune(declared func(service string) bool) {
 	for service := range s.services.Range {
 		if !declared(service.(string)) {
 			s.services.Delete(service)
--- a/internal/balance/subset_test.go
+++ b/internal/balance/subset_test.go
@@ -9,38 +9,38 @@
 
 const manyWorkers = 1000
 
-func TestASubsetGrowsWhileItIsFullAndShrinksLater(t *testing.T) {
+func TestSubsetGrowsUnderRejectionsAndShrinksLater(t *testing.T) {
 	now, clock := fixed()
 	sizes := NewSubsetSizes(clock)
-	require.Equal(t, leastSubset, sizes.Of("s"))
-	play := func(last time.Duration, verdict Verdict) {
+	require.Equal(t, leastSubset, sizes.Size("s"))
+	play := func(last time.Duration, verdict AttemptResult) {
 		for until := now.Add(last); now.Before(until); *now = now.Add(20 * time.Millisecond) {
-			sizes.Note("s", verdict, manyWorkers)
+			sizes.Observe("s", verdict, manyWorkers)
 		}
 	}
 	play(10*time.Second, Served)
-	require.Equal(t, leastSubset, sizes.Of("s"))
-	play(time.Second, TurnedAway)
-	require.Greater(t, sizes.Of("s"), leastSubset)
-	require.LessOrEqual(t, sizes.Of("s"), 4*leastSubset, "each step is to show")
-	play(time.Minute, TurnedAway)
-	grown := sizes.Of("s")
+	require.Equal(t, leastSubset, sizes.Size("s"))
+	play(time.Second, Rejected)
+	require.Greater(t, sizes.Size("s"), leastSubset)
+	require.LessOrEqual(t, sizes.Size("s"), 4*leastSubset, "each step is to show")
+	play(time.Minute, Rejected)
+	grown := sizes.Size("s")
 	require.GreaterOrEqual(t, grown, manyWorkers, "all, if it must be")
-	play(time.Minute, TurnedAway)
-	require.Equal(t, grown, sizes.Of("s"))
+	play(time.Minute, Rejected)
+	require.Equal(t, grown, sizes.Size("s"))
 	play(shrinkAfter/2, Served)
-	require.Equal(t, grown, sizes.Of("s"), "what was moved stays for a while")
+	require.Equal(t, grown, sizes.Size("s"), "what was moved stays for a while")
 	play(10*shrinkAfter, Served)
-	require.Equal(t, leastSubset, sizes.Of("s"))
-	require.Equal(t, leastSubset, sizes.Of("t"), "by service")
+	require.Equal(t, leastSubset, sizes.Size("s"))
+	require.Equal(t, leastSubset, sizes.Size("t"), "by service")
 }
 
-func TestOneRequestThatIsTurnedAwayIsNoReasonToGrow(t *testing.T) {
+func TestSingleRejectionDoesNotGrowSubset(t *testing.T) {
 	now, clock := fixed()
 	sizes := NewSubsetSizes(clock)
-	sizes.Note("s", Served, manyWorkers)
+	sizes.Observe("s", Served, manyWorkers)
 	*now = now.Add(2 * growPause)
-	sizes.Note("s", TurnedAway, manyWorkers)
-	sizes.Note("s", Served, manyWorkers)
-	require.Equal(t, leastSubset, sizes.Of("s"))
+	sizes.Observe("s", Rejected, manyWorkers)
+	sizes.Observe("s", Served, manyWorkers)
+	require.Equal(t, leastSubset, sizes.Size("s"))
 }
--- a/internal/caller/limits.go
+++ b/internal/caller/limits.go
@@ -25,7 +25,7 @@
 // Limits is an Admission that keeps tenants' declared rates and bounds the calls
 // under way. It is safe for concurrent use.
 type Limits struct {
-	shares   *limit.Shares
+	shares   *limit.RateLimiter
 	admitter *limit.Admitter
 	now      func() time.Time
 	terms    atomic.Pointer[limitTerms]
@@ -38,7 +38,7 @@
 }
 
 // NewLimits returns an Admission over both limits.
-func NewLimits(shares *limit.Shares, admitter *limit.Admitter, now func() time.Time) *Limits {
+func NewLimits(shares *limit.RateLimiter, admitter *limit.Admitter, now func() time.Time) *Limits {
 	limits := &Limits{shares: shares, admitter: admitter, now: now}
 	limits.terms.Store(&limitTerms{})
 	return limits
@@ -57,14 +57,14 @@
 		terms.priorities[program.Name] = program.Priority
 	}
 	l.terms.Store(terms)
-	l.shares.Declare(l.now(), limit.RatesOf(configuration.Declarations.Tenants))
+	l.shares.SetRates(l.now(), limit.DeclaredRates(configuration.Declarations.Tenants))
 }
 
 // AdmitOpen admits the opening of a program.
 func (l *Limits) AdmitOpen(_ context.Context, tenant structs.TenantID, program structs.ProgramName) (AdmissionTicket, error) {
 	return l.admit(limit.Request{
 		Tenant:   tenant,
-		Class:    limit.ClassOpening,
+		Class:    limit.ClassProgramStart,
 		Priority: l.terms.Load().priorities[program],
 	})
 }
@@ -94,7 +94,7 @@
 }
 
 // FirstPart tells that the first part of a model's answer came.
-func (t *limitTicket) FirstPart() { t.held.FirstPart(t.now()) }
+func (t *limitTicket) FirstPart() { t.held.FirstToken(t.now()) }
 
 // Done gives the place back.
 func (t *limitTicket) Done(err error) { t.held.Done(t.now(), outcomeOf(err)) }
@@ -107,12 +107,12 @@
 
 func outcomeOf(err error) limit.Outcome {
 	if err == nil {
-		return limit.Finished
+		return limit.OutcomeCompleted
 	}
 	if noRoom[failure.Classify(err).Type()] {
-		return limit.Refused
+		return limit.OutcomeOverloaded
 	}
-	return limit.Abandoned
+	return limit.OutcomeIgnored
 }
 
 // firstPartObserver is a ticket that wants to know when an answer begins.
@@ -135,5 +135,5 @@
 // Observe makes the metrics of the admission in the registry, once.
 func (l *Limits) Observe(registry *telemetry.Registry) {
 	registry.GaugeFunc(metricLimit, func() float64 { return float64(l.admitter.Limit()) })
-	registry.GaugeFunc(metricAdmitted, func() float64 { return float64(l.admitter.UnderWay()) })
+	registry.GaugeFunc(metricAdmitted, func() float64 { return float64(l.admitter.InFlight()) })
 }
--- a/internal/caller/limits_test.go
+++ b/internal/caller/limits_test.go
@@ -16,8 +16,8 @@
 // limited serves a backend under limits at a time that stands still.
 func limited(t *testing.T, backend *scriptedBackend, rate float64, places int) (*client.Client, *limit.Admitter) {
 	now := time.Unix(1_800_000_000, 0)
-	shares := limit.NewShares(limit.Holder{Node: "a", Incarnation: 1}, now, 1)
-	admitter := limit.NewAdmitter(now, limit.Config{Initial: places})
+	shares := limit.NewRateLimiter(limit.Holder{Node: "a", Incarnation: 1}, now, 1)
+	admitter := limit.NewAdmitter(now, limit.Config{InitialLimit: places})
 	limits := caller.NewLimits(shares, admitter, func() time.Time { return now })
 	limits.Update(&structs.Configuration{Declarations: structs.Declarations{
 		Tenants: []structs.Tenant{{Name: tenant, RequestsPerSecond: rate}},
@@ -60,5 +60,5 @@
 	require.Equal(t, 1, backend.count())
 	close(leave)
 	require.NoError(t, <-done)
-	require.Zero(t, admitter.UnderWay(), "the place is given back")
+	require.Zero(t, admitter.InFlight(), "the place is given back")
 }
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -166,7 +166,7 @@
 // have handed over its work before.
 func (c *Cluster) Leave(ctx context.Context) error {
 	c.Announce()
-	c.do(func(now time.Time) { c.state.Left(now) })
+	c.do(func(now time.Time) { c.state.RemoveSelf(now) })
 	timer := time.NewTimer(leaveLinger)
 	defer timer.Stop()
 	select {
@@ -255,7 +255,7 @@
 		for _, listener := range onItem {
 			listener(event.Item)
 		}
-	case membership.DocumentInForce:
+	case membership.DocumentActivated:
 		c.options.Document.Deliver()
 	case membership.ZoneUnreachable:
 		eventZoneUnreachable.Log("zone", event.Zone)
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -49,7 +49,7 @@
 		switch event.Kind {
 		case membership.NodeChanged:
 			changed = append(changed, event.Node)
-		case membership.NodeForgotten:
+		case membership.NodeExpired:
 			forgotten = append(forgotten, event.Node.ID)
 		}
 	}
--- a/internal/coldstart/compare_test.go
+++ b/internal/coldstart/compare_test.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestWaysComparedOnAReturningWorker is the comparison that docs/design/newcomers.md names.
+// TestStrategiesForReturningWorker is the comparison that docs/design/newcomers.md names.
 // 68 gateways hear at one moment that a worker is back, and each has wishes for it.
-func TestWaysComparedOnAReturningWorker(t *testing.T) {
+func TestStrategiesForReturningWorker(t *testing.T) {
 	play := func(way way, change func(w *world)) (worst, served int) {
 		w := newWorld(way, 5, 68, sound)
 		w.step(time.Minute)
@@ -65,9 +65,9 @@
 	require.Greater(t, worst, 39, "gateways that know different numbers")
 }
 
-// TestPartsOfFewGatewaysBreakOnceNumbersDiffer holds that the parts are no bound even where
+// TestEqualSharesExceedLimitWhenGatewayCountsDiffer holds that the parts are no bound even where
 // each is larger than a request.
-func TestPartsOfFewGatewaysBreakOnceNumbersDiffer(t *testing.T) {
+func TestEqualSharesExceedLimitWhenGatewayCountsDiffer(t *testing.T) {
 	w := newWorld(parts{}, 5, 8, sound)
 	w.step(time.Minute)
 	w.hearAll()
@@ -83,19 +83,19 @@
 	require.Error(t, w.check(), "four that have just started know of themselves alone")
 }
 
-// TestTheChoiceAloneSendsAHerdToAWorkerThatReturns is the case that breaks a choice without
+// TestLeastLoadedChoiceOverloadsReturningWorker is the case that breaks a choice without
 // a bound, with the choice itself: a worker that returns has nothing under way, so it is the
 // least loaded one at each gateway, until it has about as much there as the others. With n
 // under way at each of the others, a gateway sends it n - 2 at one moment, and n - 1 at
 // least where its hash ranks first: 68 x 6 = 408 for n = 8.
-func TestTheChoiceAloneSendsAHerdToAWorkerThatReturns(t *testing.T) {
+func TestLeastLoadedChoiceOverloadsReturningWorker(t *testing.T) {
 	const gateways, inFlight, workers = 68, 8, 6
 	now := time.Unix(1000, 0)
-	var listed []*directory.Listed
+	var listed []*directory.WorkerRecord
 	for i := range workers {
-		listed = append(listed, &directory.Listed{Worker: directory.Worker{ID: fmt.Sprintf("w%d", i)}})
+		listed = append(listed, &directory.WorkerRecord{Worker: directory.Worker{ID: fmt.Sprintf("w%d", i)}})
 	}
-	back := &directory.Listed{Worker: directory.Worker{ID: "back"}}
+	back := &directory.WorkerRecord{Worker: directory.Worker{ID: "back"}}
 	sent := 0
 	for range gateways {
 		chooses := balance.New(func() time.Time { return now }, "")
@@ -105,7 +105,7 @@
 			}
 		}
 		for number := range inFlight - 2 {
-			chosen, found := chooses.Choose(append([]*directory.Listed{back}, listed...), balance.Request{Affinity: fmt.Sprint("program-", number), Service: "model"})
+			chosen, found := chooses.Choose(append([]*directory.WorkerRecord{back}, listed...), balance.Request{Affinity: fmt.Sprint("program-", number), Service: "model"})
 			require.True(t, found)
 			if chosen.ID == back.ID {
 				sent++
@@ -116,7 +116,7 @@
 	require.Equal(t, gateways*(inFlight-2), sent)
 }
 
-func TestNoSecondHoldsMoreThanAColdWorkerBears(t *testing.T) {
+func TestColdWorkerIsNeverOverloaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(grants{}, rapid.IntRange(1, 5).Draw(t, "members"), rapid.IntRange(1, 8).Draw(t, "gateways"), sound)
 		w.step(time.Duration(rapid.IntRange(0, 5000).Draw(t, "calm")) * time.Millisecond)
@@ -161,7 +161,7 @@
 			}
 			w.processes[number] = anew
 			if anew.reason("a") != Reported {
-				// What the first list hides is heard within EntryAge.
+				// What the first list hides is heard within MaxEntryAge.
 				return
 			}
 		}
@@ -194,11 +194,11 @@
 				w.way.ask(w, each, member, 64, 0, false)
 			}
 		}
-		w.step(quota.Lifetime - time.Millisecond)
+		w.step(quota.GrantLifetime - time.Millisecond)
 	}
 }
 
-func TestBreakagesAreSeen(t *testing.T) {
+func TestFaultsAreDetected(t *testing.T) {
 	for name, each := range map[string]struct {
 		broken breakage
 		play   func(w *world)
@@ -213,7 +213,7 @@
 			for _, each := range w.processes {
 				each.list(entry("a", 0))
 			}
-			w.greed(EntryAge - time.Second)
+			w.greed(MaxEntryAge - time.Second)
 		}},
 		"workers are warm after a drain": {drainEndIsWarm, func(w *world) {
 			for _, each := range w.processes {
--- a/internal/coldstart/tracker.go
+++ b/internal/coldstart/tracker.go
@@ -20,10 +20,10 @@
 	"github.com/barleyshelf/barleyshelf/internal/route"
 )
 
-// EntryAge is how old an entry may be when a process receives it: a call to the platform's store,
+// MaxEntryAge is how old an entry may be when a process receives it: a call to the platform's store,
 // the time over which changes are gathered, and two questions of replicas, with a slow one
 // among them. What an entry says may have been written that much before.
-const EntryAge = 3 * time.Second
+const MaxEntryAge = 3 * time.Second
 
 // Reason names why a worker counts as cold; the zero value is that it does not.
 type Reason string
@@ -36,17 +36,17 @@
 	Reported Reason = "told"
 	// Unknown is that this process has received nothing of the worker, or nothing lately.
 	Unknown Reason = "unheard"
-	// FirstList is that the worker stands in the first list that this process received, which
+	// InitialList is that the worker stands in the first list that this process received, which
 	// may be older than the worker's present state.
-	FirstList Reason = "first_list"
-	// New is that the worker came into the list.
-	New Reason = "new"
+	InitialList Reason = "first_list"
+	// WorkerAdded is that the worker came into the list.
+	WorkerAdded Reason = "new"
 	// DrainEnded is that its zone gets requests again.
 	DrainEnded Reason = "drain_ended"
-	// Lapsed is that its entry went without notice, or came back after that.
-	Lapsed Reason = "lapsed"
-	// Unreached is that requests of this process did not reach it, or got no answer.
-	Unreached Reason = "unreached"
+	// EntryLapsed is that its entry went without notice, or came back after that.
+	EntryLapsed Reason = "lapsed"
+	// Unreachable is that requests of this process did not reach it, or got no answer.
+	Unreachable Reason = "unreached"
 )
 
 // Tracker keeps which workers count as cold. It is safe for concurrent use.
@@ -107,9 +107,9 @@
 	return tracker
 }
 
-// Cold returns why a worker of a service counts as cold as of a view, and what it bears then.
+// ColdStatus returns why a worker of a service counts as cold as of a view, and what it bears then.
 // Of a view that Take was not given yet nothing is known.
-func (t *Tracker) Cold(view *directory.View, service, worker string) (route.Cold, Reason) {
+func (t *Tracker) ColdStatus(view *directory.View, service, worker string) (route.Cold, Reason) {
 	known := t.state.Load()
 	if known.view != view {
 		declared, found := declaredIn(view)[service]
@@ -137,8 +137,8 @@
 	return Warm
 }
 
-// Count returns how many workers count as cold.
-func (t *Tracker) Count() (count int) {
+// ColdCount returns how many workers count as cold.
+func (t *Tracker) ColdCount() (count int) {
 	now := t.now()
 	for _, each := range t.state.Load().workers {
 		if each.holds.Load().at(now) != Warm {
@@ -148,8 +148,8 @@
 	return count
 }
 
-// Any reports whether workers of a service may be cold as of a view, without saying which.
-func (t *Tracker) Any(view *directory.View, service string) bool {
+// MayBeCold reports whether workers of a service may be cold as of a view, without saying which.
+func (t *Tracker) MayBeCold(view *directory.View, service string) bool {
 	known := t.state.Load()
 	declared := known.declared
 	if known.view != view {
@@ -159,8 +159,8 @@
 	return found
 }
 
-// Take takes the next view. Views are to be given in their order.
-func (t *Tracker) Take(view *directory.View) {
+// Update takes the next view. Views are to be given in their order.
+func (t *Tracker) Update(view *directory.View) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	declared := declaredIn(view)
@@ -176,8 +176,8 @@
 	}
 	t.taken++
 	for service, cold := range declared {
-		for each := range view.Workers.Of(service) {
-			t.take(each, view.Heard(each), cold, view.Drains)
+		for each := range view.Workers.InService(service) {
+			t.take(each, view.LastReceived(each), cold, view.Drains)
 		}
 		if view.Workers != nil {
 			t.followed[service] = true
@@ -208,16 +208,16 @@
 }
 
 // take takes one worker of a view. The mutex is held.
-func (t *Tracker) take(listed *directory.Listed, received time.Time, cold route.Cold, drains directory.ZoneDrains) {
+func (t *Tracker) take(listed *directory.WorkerRecord, received time.Time, cold route.Cold, drains directory.ZoneDrains) {
 	now := t.now()
 	known := t.workers[listed.ID]
 	if known == nil || known.service != listed.Service || known.address != listed.Address {
 		known = t.add(listed, received, cold, now)
-	} else if !listed.Lapsed && (known.received != received || known.left != listed.ColdLeft) {
+	} else if !listed.Lapsed && (known.received != received || known.left != listed.ColdRemaining) {
 		known.update(listed, received)
 	}
 	if listed.Lapsed || known.lapsed {
-		known.suspect(now, cold.For, Lapsed)
+		known.suspect(now, cold.For, EntryLapsed)
 	}
 	if t.drains.Has(known.zone) && !drains.Has(known.zone) {
 		known.suspect(now, cold.For, DrainEnded)
@@ -226,27 +226,27 @@
 }
 
 // add begins to keep a worker. The mutex is held.
-func (t *Tracker) add(listed *directory.Listed, received time.Time, cold route.Cold, now time.Time) *standing {
+func (t *Tracker) add(listed *directory.WorkerRecord, received time.Time, cold route.Cold, now time.Time) *standing {
 	known := &standing{
 		service: listed.Service, address: listed.Address, zone: listed.Zone, received: received,
-		left: listed.ColdLeft, reportedUntil: received.Add(listed.ColdLeft),
+		left: listed.ColdRemaining, reportedUntil: received.Add(listed.ColdRemaining),
 	}
 	t.workers[listed.ID] = known
 	switch {
 	case !t.followed[listed.Service]:
-		known.suspect(now, min(EntryAge, cold.For), FirstList)
-	case listed.ColdLeft == 0:
-		known.suspect(now, cold.For, New)
+		known.suspect(now, min(MaxEntryAge, cold.For), InitialList)
+	case listed.ColdRemaining == 0:
+		known.suspect(now, cold.For, WorkerAdded)
 	}
 	return known
 }
 
 // update takes a worker's next entry. One that may have been written before the worker was
 // doubted does not end the doubt.
-func (s *standing) update(listed *directory.Listed, received time.Time) {
-	s.received, s.left, s.zone = received, listed.ColdLeft, listed.Zone
-	s.reportedUntil = received.Add(listed.ColdLeft)
-	if !received.Before(s.doubted.Add(EntryAge)) {
+func (s *standing) update(listed *directory.WorkerRecord, received time.Time) {
+	s.received, s.left, s.zone = received, listed.ColdRemaining, listed.Zone
+	s.reportedUntil = received.Add(listed.ColdRemaining)
+	if !received.Before(s.doubted.Add(MaxEntryAge)) {
 		s.doubt = spell{}
 	}
 }
@@ -278,18 +278,18 @@
 	return next.at(now)
 }
 
-// Unreached notes that a worker was not reached, or fell silent: it may have been started
+// Unreachable notes that a worker was not reached, or fell silent: it may have been started
 // again, and its entry does not show it yet.
-func (t *Tracker) Unreached(worker string) {
+func (t *Tracker) RecordUnreachable(worker string) {
 	t.revise(worker, func(known *standing, cold route.Cold, now time.Time) {
-		known.suspect(now, cold.For, Unreached)
+		known.suspect(now, cold.For, Unreachable)
 	})
 }
 
-// Report takes a worker's own report, from an answer to a request that was sent at a time, of for
+// RecordReport takes a worker's own report, from an answer to a request that was sent at a time, of for
 // how long it is cold. Where that is not at all it ends what was believed before the request
 // was sent.
-func (t *Tracker) Report(worker string, sent time.Time, left time.Duration) {
+func (t *Tracker) RecordReport(worker string, sent time.Time, left time.Duration) {
 	t.revise(worker, func(known *standing, _ route.Cold, now time.Time) {
 		if left > 0 {
 			known.reportedUntil = now.Add(left)
--- a/internal/coldstart/tracker_test.go
+++ b/internal/coldstart/tracker_test.go
@@ -13,7 +13,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/route"
 )
 
-// coldFor is longer than EntryAge, so that both show.
+// coldFor is longer than MaxEntryAge, so that both show.
 const coldFor = 8 * time.Second
 
 // heardOf is a tracker behind a directory, on a simulated clock.
@@ -31,41 +31,41 @@
 	h.tracker = NewTracker(clock, func(reason Reason, workers []string) {
 		h.begun = append(h.begun, fmt.Sprintf("%s %v", reason, workers))
 	})
-	h.state = directory.NewState(clock, func(view *directory.View, _ directory.WorkerUpdate) { h.tracker.Take(view) })
-	h.state.OfferConfiguration(&route.Configuration{Version: 1, Services: map[string]route.Service{
+	h.state = directory.NewState(clock, func(view *directory.View, _ directory.WorkerUpdate) { h.tracker.Update(view) })
+	h.state.ApplyConfiguration(&route.Configuration{Version: 1, Services: map[string]route.Service{
 		"model": {Name: "model", Cold: cold}, "tools": {Name: "tools"},
 	}})
 	return h
 }
 
 func entry(id string, left time.Duration) directory.Worker {
-	return directory.Worker{ID: id, Instance: id, Service: "model", Address: "10.0.0.1:1", Zone: "zone-a", ColdLeft: left}
+	return directory.Worker{ID: id, Instance: id, Service: "model", Address: "10.0.0.1:1", Zone: "zone-a", ColdRemaining: left}
 }
 
 func (h *heardOf) list(workers ...directory.Worker) {
 	h.revision++
-	h.state.OfferWorkers(workers, h.revision)
+	h.state.ReplaceWorkers(workers, h.revision)
 }
 
 func (h *heardOf) hear(worker directory.Worker) {
 	h.revision++
-	h.state.ChangeWorkers([]directory.Change{{Object: directory.Object{Name: worker.ID, Worker: &worker}}}, h.revision)
+	h.state.ApplyWorkerChanges([]directory.Change{{Object: directory.Object{Name: worker.ID, Worker: &worker}}}, h.revision)
 }
 
 func (h *heardOf) loses(id string) {
 	h.revision++
-	h.state.ChangeWorkers([]directory.Change{{Object: directory.Object{Name: id}, Deleted: true}}, h.revision)
+	h.state.ApplyWorkerChanges([]directory.Change{{Object: directory.Object{Name: id}, Deleted: true}}, h.revision)
 }
 
 func (h *heardOf) drain(zones ...string) {
 	h.revision++
-	h.state.OfferZoneDrains(zones, h.revision)
+	h.state.ReplaceZoneDrains(zones, h.revision)
 }
 
 func (h *heardOf) pass(by time.Duration) { h.now = h.now.Add(by) }
 
 func (h *heardOf) reason(worker string) Reason {
-	_, reason := h.tracker.Cold(h.state.View(), "model", worker)
+	_, reason := h.tracker.ColdStatus(h.state.View(), "model", worker)
 	return reason
 }
 
@@ -77,7 +77,7 @@
 	return h
 }
 
-func TestWhatAProcessHearsMakesWorkersColdForATime(t *testing.T) {
+func TestColdReasonsAndDurations(t *testing.T) {
 	for name, each := range map[string]struct {
 		hears  func(h *heardOf)
 		worker string
@@ -85,18 +85,18 @@
 		last   time.Duration
 	}{
 		"its entry says so":              {func(h *heardOf) { h.hear(entry("a", 5*time.Second)) }, "a", Reported, 5 * time.Second},
-		"a new worker that says nothing": {func(h *heardOf) { h.hear(entry("b", 0)) }, "b", New, coldFor},
+		"a new worker that says nothing": {func(h *heardOf) { h.hear(entry("b", 0)) }, "b", WorkerAdded, coldFor},
 		"a new worker that says so":      {func(h *heardOf) { h.hear(entry("b", 2*time.Second)) }, "b", Reported, 2 * time.Second},
 		"its zone's drain has ended":     {func(h *heardOf) { h.drain("zone-a"); h.drain() }, "a", DrainEnded, coldFor},
-		"its entry went":                 {func(h *heardOf) { h.loses("a") }, "a", Lapsed, coldFor},
-		"its entry went and came back":   {func(h *heardOf) { h.loses("a"); h.hear(entry("a", 0)) }, "a", Lapsed, coldFor},
+		"its entry went":                 {func(h *heardOf) { h.loses("a") }, "a", EntryLapsed, coldFor},
+		"its entry went and came back":   {func(h *heardOf) { h.loses("a"); h.hear(entry("a", 0)) }, "a", EntryLapsed, coldFor},
 		"it has another address": {func(h *heardOf) {
 			moved := entry("a", 0)
 			moved.Address = "10.0.0.2:1"
 			h.hear(moved)
-		}, "a", New, coldFor},
-		"a request did not reach it": {func(h *heardOf) { h.tracker.Unreached("a") }, "a", Unreached, coldFor},
-		"an answer says so": {func(h *heardOf) { h.tracker.Report("a", h.now.Add(-time.Millisecond), 3*time.Second) }, "a",
+		}, "a", WorkerAdded, coldFor},
+		"a request did not reach it": {func(h *heardOf) { h.tracker.RecordUnreachable("a") }, "a", Unreachable, coldFor},
+		"an answer says so": {func(h *heardOf) { h.tracker.RecordReport("a", h.now.Add(-time.Millisecond), 3*time.Second) }, "a",
 			Reported, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -113,28 +113,28 @@
 	}
 }
 
-// TestAProcessThatStartsCountsWhatItHasNotHeardAsCold follows a fleet that says of itself
-// that it is warm. The first list may be old; what has changed since is heard within EntryAge.
-func TestAProcessThatStartsCountsWhatItHasNotHeardAsCold(t *testing.T) {
+// TestUnknownWorkersAreColdAfterStart follows a fleet that says of itself
+// that it is warm. The first list may be old; what has changed since is heard within MaxEntryAge.
+func TestUnknownWorkersAreColdAfterStart(t *testing.T) {
 	h := newHeardOf(&route.Cold{For: coldFor, PerSecond: 23})
 	require.Equal(t, Unknown, h.reason("a"))
 	h.list(entry("a", 0), entry("b", 7*time.Second))
-	require.Equal(t, FirstList, h.reason("a"))
+	require.Equal(t, InitialList, h.reason("a"))
 	require.Equal(t, Reported, h.reason("b"))
 	require.Equal(t, Unknown, h.reason("c"), "a worker that stands in no list")
-	h.pass(EntryAge)
+	h.pass(MaxEntryAge)
 	require.Equal(t, Warm, h.reason("a"), "a fleet that is warm does not crawl on")
 	require.Equal(t, Reported, h.reason("b"))
 }
 
-func TestAnEntryEndsWhatItWasWrittenAfter(t *testing.T) {
+func TestLaterEntryEndsAssumedCold(t *testing.T) {
 	h := warm()
 	h.hear(entry("a", time.Hour))
 	h.hear(entry("a", 0))
 	require.Equal(t, Warm, h.reason("a"), "the worker's own later word")
 	h.drain("zone-a")
 	h.drain()
-	h.pass(EntryAge - time.Millisecond)
+	h.pass(MaxEntryAge - time.Millisecond)
 	h.hear(entry("a", 0))
 	require.Equal(t, DrainEnded, h.reason("a"), "it may have been written before the drain ended")
 	h.pass(time.Millisecond)
@@ -142,54 +142,54 @@
 	require.Equal(t, Warm, h.reason("a"))
 }
 
-func TestAnAnswerEndsWhatWasBelievedBeforeItWasAskedFor(t *testing.T) {
+func TestReportEndsEarlierAssumptions(t *testing.T) {
 	h := warm()
-	h.tracker.Unreached("a")
-	h.tracker.Report("a", h.now, 0)
-	require.Equal(t, Unreached, h.reason("a"), "the request was sent no later")
+	h.tracker.RecordUnreachable("a")
+	h.tracker.RecordReport("a", h.now, 0)
+	require.Equal(t, Unreachable, h.reason("a"), "the request was sent no later")
 	sent := h.now.Add(time.Millisecond)
 	h.pass(time.Second)
-	h.tracker.Report("a", sent, 0)
+	h.tracker.RecordReport("a", sent, 0)
 	require.Equal(t, Warm, h.reason("a"))
 	h.hear(entry("a", 4*time.Second))
-	h.tracker.Report("a", sent, 0)
+	h.tracker.RecordReport("a", sent, 0)
 	require.Equal(t, Reported, h.reason("a"), "an entry that came after the request was sent stands")
 }
 
-func TestWorkersOfOtherServicesAreNeverCold(t *testing.T) {
+func TestServicesWithoutColdLimitAreNeverCold(t *testing.T) {
 	h := newHeardOf(nil)
 	require.Equal(t, Warm, h.reason("a"))
 	h.list(entry("a", time.Hour))
 	require.Equal(t, Warm, h.reason("a"))
-	require.False(t, h.tracker.Any(h.state.View(), "model"))
-	require.Zero(t, h.tracker.Count())
+	require.False(t, h.tracker.MayBeCold(h.state.View(), "model"))
+	require.Zero(t, h.tracker.ColdCount())
 	cold := newHeardOf(&route.Cold{For: coldFor, PerSecond: 23})
-	cold.list(directory.Worker{ID: "t", Instance: "t", Service: "tools", ColdLeft: time.Hour})
-	_, reason := cold.tracker.Cold(cold.state.View(), "tools", "t")
+	cold.list(directory.Worker{ID: "t", Instance: "t", Service: "tools", ColdRemaining: time.Hour})
+	_, reason := cold.tracker.ColdStatus(cold.state.View(), "tools", "t")
 	require.Equal(t, Warm, reason)
 }
 
-// TestAViewThatWasNotTakenYetSaysNothing holds for the moment between a view and its taking.
-func TestAViewThatWasNotTakenYetSaysNothing(t *testing.T) {
+// TestWorkersOfUnprocessedViewAreUnknown holds for the moment between a view and its taking.
+func TestWorkersOfUnprocessedViewAreUnknown(t *testing.T) {
 	h := warm()
 	next := *h.state.View()
-	_, reason := h.tracker.Cold(&next, "model", "a")
+	_, reason := h.tracker.ColdStatus(&next, "model", "a")
 	require.Equal(t, Unknown, reason)
-	require.True(t, h.tracker.Any(&next, "model"))
-	_, reason = h.tracker.Cold(&next, "tools", "t")
+	require.True(t, h.tracker.MayBeCold(&next, "model"))
+	_, reason = h.tracker.ColdStatus(&next, "tools", "t")
 	require.Equal(t, Warm, reason)
-	require.False(t, h.tracker.Any(&next, "tools"))
+	require.False(t, h.tracker.MayBeCold(&next, "tools"))
 }
 
-func TestAServiceThatBecomesColdableIsHeardOfAnew(t *testing.T) {
+func TestServiceThatGainsColdLimitStartsWithInitialList(t *testing.T) {
 	h := newHeardOf(nil)
 	h.list(entry("a", 0))
 	h.pass(time.Hour)
-	h.state.OfferConfiguration(&route.Configuration{Version: 2, Services: map[string]route.Service{
+	h.state.ApplyConfiguration(&route.Configuration{Version: 2, Services: map[string]route.Service{
 		"model": {Name: "model", Cold: &route.Cold{For: coldFor, PerSecond: 2}},
 	}})
-	require.Equal(t, FirstList, h.reason("a"))
-	require.Equal(t, 1, h.tracker.Count())
+	require.Equal(t, InitialList, h.reason("a"))
+	require.Equal(t, 1, h.tracker.ColdCount())
 }
 
 // history is everything that a process heard of one worker: the oracle's whole knowledge.
@@ -215,12 +215,12 @@
 	}
 	last := h.entries[len(h.entries)-1]
 	return now.Before(last.at.Add(last.left)) || slices.ContainsFunc(h.doubts, func(doubt heardDoubt) bool {
-		ended := slices.ContainsFunc(h.entries, func(entry heardEntry) bool { return !entry.at.Before(doubt.at.Add(EntryAge)) })
+		ended := slices.ContainsFunc(h.entries, func(entry heardEntry) bool { return !entry.at.Before(doubt.at.Add(MaxEntryAge)) })
 		return !ended && now.Before(doubt.at.Add(doubt.last))
 	})
 }
 
-func TestTheTrackerAgreesWithItsHistory(t *testing.T) {
+func TestTrackerMatchesEventHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHeardOf(&route.Cold{For: coldFor, PerSecond: 23})
 		known := &history{}
@@ -230,7 +230,7 @@
 		first := left.Draw(t, "first")
 		h.list(entry("a", first))
 		heardOfIt(first)
-		doubt(EntryAge)
+		doubt(MaxEntryAge)
 		drained := false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
@@ -247,7 +247,7 @@
 				}
 				drained = !drained
 			case 2:
-				h.tracker.Unreached("a")
+				h.tracker.RecordUnreachable("a")
 				doubt(coldFor)
 			case 3:
 				h.loses("a")
@@ -264,9 +264,9 @@
 	})
 }
 
-// TestAWorkerThatIsColdCountsAsColdOnceThatIsHeard plays workers that are truly cold for
+// TestReportedColdWorkerCountsAsCold plays workers that are truly cold for
 // times which they write down, and entries that come late, in order.
-func TestAWorkerThatIsColdCountsAsColdOnceThatIsHeard(t *testing.T) {
+func TestReportedColdWorkerCountsAsCold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := warm()
 		type written struct {
@@ -278,7 +278,7 @@
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			if rapid.IntRange(0, 3).Draw(t, "action") == 0 {
 				left := time.Duration(rapid.IntRange(0, 6000).Draw(t, "left")) * time.Millisecond
-				arrives := h.now.Add(time.Duration(rapid.IntRange(0, int(EntryAge.Milliseconds())).Draw(t, "way")) * time.Millisecond)
+				arrives := h.now.Add(time.Duration(rapid.IntRange(0, int(MaxEntryAge.Milliseconds())).Draw(t, "way")) * time.Millisecond)
 				if last := len(inFlight) - 1; last >= 0 && arrives.Before(inFlight[last].arrives) {
 					arrives = inFlight[last].arrives
 				}
@@ -297,8 +297,8 @@
 	})
 }
 
-// BenchmarkTake takes a view of 11,000 workers.
-func BenchmarkTake(b *testing.B) {
+// BenchmarkUpdate takes a view of 11,000 workers.
+func BenchmarkUpdate(b *testing.B) {
 	h := newHeardOf(&route.Cold{For: coldFor, PerSecond: 23})
 	var workers []directory.Worker
 	for i := range 11000 {
@@ -310,6 +310,6 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		next := *view
-		h.tracker.Take(&next)
+		h.tracker.Update(&next)
 	}
 }
--- a/internal/coldstart/ways_test.go
+++ b/internal/coldstart/ways_test.go
@@ -113,7 +113,7 @@
 			if w.now.Before(arriving.arrives) || w.now.Before(each.pausedUntil) {
 				return false
 			}
-			each.allowance.Add(arriving.asked, arriving.grant)
+			each.allowance.AddGrant(arriving.asked, arriving.grant)
 			return true
 		})
 	}
@@ -127,7 +127,7 @@
 	}
 	reason := from.reason("a")
 	switch {
-	case reason == Warm, w.broken == startsWarm && reason == FirstList, w.broken == drainEndIsWarm && reason == DrainEnded,
+	case reason == Warm, w.broken == startsWarm && reason == InitialList, w.broken == drainEndIsWarm && reason == DrainEnded,
 		w.broken == resumesWithoutPass && resumed, w.way.pass(w, from):
 		w.sent = append(w.sent, w.now)
 		return true
@@ -163,9 +163,9 @@
 }
 
 func (grants) ask(w *world, from *process, to, wanted int, delay time.Duration, lost bool) {
-	granted := w.members[to].granter.Grant(w.now, quota.Ask{
+	granted := w.members[to].granter.Grant(w.now, quota.GrantRequest{
 		Tenant: "a", Limit: quota.Limit{Rate: bears.PerSecond, Version: 1}, Members: len(w.members),
-		Since: w.members[to].since, Wanted: wanted,
+		SeatSince: w.members[to].since, Wanted: wanted,
 	})
 	if lost || granted.Requests == 0 {
 		return
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -76,12 +76,12 @@
 
 func follow(t require.TestingT, from, to *config.Store) {
 	source, target := from.Document(), to.Document()
-	for _, delta := range source.Deltas(target.Held()) {
+	for _, delta := range source.Deltas(target.HeldVersion()) {
 		require.True(t, target.Apply(delta))
 	}
-	if target.InForce() < source.InForce() {
-		version, whole := source.Whole()
-		require.True(t, target.ApplyWhole(version, whole))
+	if target.ActiveVersion() < source.ActiveVersion() {
+		version, whole := source.Snapshot()
+		require.True(t, target.ApplySnapshot(version, whole))
 		for _, delta := range source.Deltas(version) {
 			require.True(t, target.Apply(delta))
 		}
@@ -102,8 +102,8 @@
 	require.False(t, newer)
 	old := newStore(t, "")
 	old.Offer(&structs.Configuration{Version: 3})
-	version, whole := old.Document().Whole()
-	require.False(t, store.Document().ApplyWhole(version, whole))
+	version, whole := old.Document().Snapshot()
+	require.False(t, store.Document().ApplySnapshot(version, whole))
 	require.Equal(t, uint64(5), store.InForce().Version)
 }
 
@@ -119,7 +119,7 @@
 	require.Nil(t, again.InForce(), "nothing is served on memory alone")
 	_, newer := again.Offer(&structs.Configuration{Version: 9})
 	require.False(t, newer, "a lagging platform does not set it back")
-	again.Document().Vouch(9)
+	again.Document().Confirm(9)
 	require.Nil(t, again.InForce(), "nor does a lagging peer")
 	require.Equal(t, uint64(9), again.HeldVersion())
 	follow(t, first, again)
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -16,17 +16,17 @@
 // Document returns the store's side towards the cluster.
 func (s *Store) Document() *Document { return &Document{store: s} }
 
-// InForce is the version in force; 0 is none.
-func (d *Document) InForce() uint64 { return d.store.version() }
+// ActiveVersion is the version in force; 0 is none.
+func (d *Document) ActiveVersion() uint64 { return d.store.version() }
 
-// Held is the newest version known, vouched for or not.
-func (d *Document) Held() uint64 { return d.store.HeldVersion() }
+// HeldVersion is the newest version known, vouched for or not.
+func (d *Document) HeldVersion() uint64 { return d.store.HeldVersion() }
 
 // Deliver calls the store's listeners.
 func (d *Document) Deliver() { d.store.Deliver() }
 
-// Vouch puts the held version in force if it is the given one.
-func (d *Document) Vouch(version uint64) {
+// Confirm puts the held version in force if it is the given one.
+func (d *Document) Confirm(version uint64) {
 	s := d.store
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -74,9 +74,9 @@
 	return true
 }
 
-// Whole returns a version and its encoding. It may be an older one, as long as
+// Snapshot returns a version and its encoding. It may be an older one, as long as
 // the log leads on from it.
-func (d *Document) Whole() (uint64, []byte) {
+func (d *Document) Snapshot() (uint64, []byte) {
 	s := d.store
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -104,8 +104,8 @@
 	return false
 }
 
-// ApplyWhole replaces the held version by a newer one.
-func (d *Document) ApplyWhole(version uint64, data []byte) bool {
+// ApplySnapshot replaces the held version by a newer one.
+func (d *Document) ApplySnapshot(version uint64, data []byte) bool {
 	c, err := decodeWhole(data)
 	if err != nil || c.Version != version {
 		eventBadWhole.Log("version", version, "error", err)
--- a/internal/config/store.go
+++ b/internal/config/store.go
@@ -25,7 +25,7 @@
 	maxWholeBytes = 64 << 20
 )
 
-// Store holds the configuration in force. It is safe for concurrent use; InForce
+// Store holds the configuration in force. It is safe for concurrent use; ActiveVersion
 // takes no lock.
 type Store struct {
 	inForce atomic.Pointer[structs.Configuration]
@@ -71,7 +71,7 @@
 	return s, nil
 }
 
-// InForce returns the configuration in force; nil until a vouched version is
+// ActiveVersion returns the configuration in force; nil until a vouched version is
 // held. The value must not be changed.
 func (s *Store) InForce() *structs.Configuration { return s.inForce.Load() }
 
--- a/internal/daemon/core.go
+++ b/internal/daemon/core.go
@@ -36,7 +36,7 @@
 		Transport:       d.peers,
 		Nodes:           d.journalNodes,
 		NewStateMachine: created.executor.NewStateMachine,
-		OnLeadership: func(shard structs.ShardID, leading bool, term uint64) {
+		OnLeadershipChange: func(shard structs.ShardID, leading bool, term uint64) {
 			created.executor.LeadershipChanged(shard, leading, term)
 			d.publishShard(created, shard)
 		},
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -55,7 +55,7 @@
 	tenants   *identity.Tenants
 	directory *directory
 	policies  policyChoice
-	shares    *limit.Shares
+	shares    *limit.RateLimiter
 	registry  *telemetry.Registry
 	admission *admission
 	core      atomic.Pointer[core]
@@ -96,7 +96,7 @@
 		registry:  telemetry.NewRegistry(),
 	}
 	d.self = selfNode(configured)
-	d.shares = limit.NewShares(limit.Holder{Node: d.self.ID, Incarnation: d.self.Incarnation}, time.Now(), options.Seed)
+	d.shares = limit.NewRateLimiter(limit.Holder{Node: d.self.ID, Incarnation: d.self.Incarnation}, time.Now(), options.Seed)
 	limits := caller.NewLimits(d.shares, limit.NewAdmitter(time.Now(), limit.Config{Seed: options.Seed}), time.Now)
 	limits.Observe(d.registry)
 	d.admission = &admission{draining: &d.draining, limits: limits}
--- a/internal/daemon/deployment_test.go
+++ b/internal/daemon/deployment_test.go
@@ -81,7 +81,7 @@
 
 func (d *deployment) configure(t testing.TB) {
 	encoded, err := json.Marshal(structs.Configuration{
-		PlanID: "first", Declarations: d.outside.Declarations, Domains: placement.Domains(d.outside.Declarations, nil),
+		PlanID: "first", Declarations: d.outside.Declarations, Domains: placement.ExtendDomains(d.outside.Declarations, nil),
 	})
 	require.NoError(t, err)
 	_, err = platform.NewClient(d.outside.Platform.Address(), http.DefaultClient).Put(t.Context(), "config/root", 0, encoded)
--- a/internal/daemon/directory.go
+++ b/internal/daemon/directory.go
@@ -81,7 +81,7 @@
 	if running == nil || len(place.Genesis) == 0 {
 		return
 	}
-	if err := running.host.Create(replication.Group{Shard: shard, Members: place.Genesis}); err != nil {
+	if err := running.host.CreateReplica(replication.InitialGroup{Shard: shard, Members: place.Genesis}); err != nil {
 		eventCreateFailed.Log("shard", shard, "cause", err)
 	}
 }
@@ -102,7 +102,7 @@
 	if err != nil {
 		return
 	}
-	version := status.Term<<termShift + status.MembersIndex&(1<<termShift-1)
+	version := status.Term<<termShift + status.MembershipIndex&(1<<termShift-1)
 	d.directory.set(shard, nodes)
 	d.cluster.Publish(cluster.Item{Key: shardKey(shard), Version: version, Value: value})
 }
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -67,7 +67,7 @@
 	}
 	status, _ := c.host.Status(structs.ShardID(unavailable.Shard))
 	eventHandOverFailed.Log("shard", unavailable.Shard, "role", status.Role, "leader", status.Leader,
-		"term", status.Term, "members", status.Members, "leaving", status.Leaving)
+		"term", status.Term, "members", status.Members, "leaving", status.RemovalPending)
 }
 
 // Stop is the planned stop. The daemon says that it is leaving, soon refuses new
@@ -87,7 +87,7 @@
 	d.draining.Store(true)
 	running := d.core.Load()
 	err := running.executor.Quiesce(ctx)
-	if handed := running.host.HandOver(ctx); handed != nil {
+	if handed := running.host.Drain(ctx); handed != nil {
 		running.logHandOver(handed)
 		err = handed
 	}
--- a/internal/daemon/engine_view.go
+++ b/internal/daemon/engine_view.go
@@ -18,23 +18,23 @@
 	snapshot := &schedule.Snapshot{Engines: make([]schedule.Engine, 0, len(view.Engines))}
 	for _, engine := range view.Engines {
 		snapshot.Engines = append(snapshot.Engines, schedule.Engine{
-			EngineStatus:    engine.EngineStatus,
-			OwnRunning:      engine.OwnRunning,
-			OwnQueuedTokens: engine.OwnQueuedTokens,
+			EngineStatus:      engine.EngineStatus,
+			DispatchedStreams: engine.OwnRunning,
+			DispatchedTokens:  engine.OwnQueuedTokens,
 		})
 	}
 	return snapshot
 }
 
-// Dispatched corrects the view by a stream that was sent now.
-func (v engineView) Dispatched(id structs.EngineID, tokens int64) func() {
+// StreamStarted corrects the view by a stream that was sent now.
+func (v engineView) StreamStarted(id structs.EngineID, tokens int64) func() {
 	return v.fleet.Dispatched(id, tokens)
 }
 
-// Failed leaves the engine out for a while.
-func (v engineView) Failed(id structs.EngineID) { v.fleet.MarkLeaving(id) }
+// ReportFailure leaves the engine out for a while.
+func (v engineView) ReportFailure(id structs.EngineID) { v.fleet.MarkLeaving(id) }
 
-// Want has engines followed that serve the model in the zones.
-func (v engineView) Want(zones []structs.ZoneName, model structs.ModelName) {
+// RequestEngines has engines followed that serve the model in the zones.
+func (v engineView) RequestEngines(zones []structs.ZoneName, model structs.ModelName) {
 	v.fleet.Want(zones, model)
 }
--- a/internal/daemon/groups.go
+++ b/internal/daemon/groups.go
@@ -29,8 +29,8 @@
 // is created once, by compare-and-swap, and never changes: that one object
 // keeps two daemons from making two groups of one shard.
 type domainGroups struct {
-	Domain structs.Domain      `json:"domain"`
-	Groups []replication.Group `json:"groups"`
+	Domain structs.Domain             `json:"domain"`
+	Groups []replication.InitialGroup `json:"groups"`
 }
 
 // settling remembers since when the members of a domain are unchanged.
@@ -84,7 +84,7 @@
 	if size <= 0 {
 		size = defaultReplicas
 	}
-	nodes := aliveIn(domain, plan.OpenNodes(configuration.Declarations, d.cluster.View().Nodes))
+	nodes := aliveIn(domain, plan.ApplyZoneDraining(configuration.Declarations, d.cluster.View().Nodes))
 	if !d.settled(domain, nodes, settled) {
 		return false
 	}
@@ -96,9 +96,9 @@
 	groups := domainGroups{Domain: domain}
 	for number := range domain.ShardCount {
 		shard := domain.FirstShard + structs.ShardID(number)
-		groups.Groups = append(groups.Groups, replication.Group{
+		groups.Groups = append(groups.Groups, replication.InitialGroup{
 			Shard:   shard,
-			Members: membersOf(placement.Replicas(domain, shard, nodes, size)),
+			Members: membersOf(placement.SelectReplicas(domain, shard, nodes, size)),
 		})
 	}
 	value, err := json.Marshal(groups)
--- a/internal/daemon/handler.go
+++ b/internal/daemon/handler.go
@@ -29,7 +29,7 @@
 	if running == nil {
 		return &failure.NotReady{Missing: "replicas"}
 	}
-	return running.executor.Forwarded(ctx, request, send)
+	return running.executor.ExecuteForwarded(ctx, request, send)
 }
 
 // ConfigInForce returns the version in force here; 0 means none.
--- a/internal/daemon/inspect.go
+++ b/internal/daemon/inspect.go
@@ -26,7 +26,7 @@
 		}
 		response.Shards = append(response.Shards, state)
 	}
-	for key, inFlight := range running.executor.UnderWay() {
+	for key, inFlight := range running.executor.CountOpenPrograms() {
 		response.Programs = append(response.Programs, &peerv1.ProgramCount{
 			Shard:    uint32(key.Shard),
 			Program:  string(key.Program),
--- a/internal/daemon/leaderless.go
+++ b/internal/daemon/leaderless.go
@@ -68,10 +68,10 @@
 		return
 	}
 	lack := lacking[longest]
-	search := lack.status.Search
+	search := lack.status.LeaderSearch
 	eventNoLeader.Log("shards", len(lacking), "longest", longest, "for_ms", now.Sub(w.since[longest]).Milliseconds(),
 		"reason", string(lack.reason), "role", lack.status.Role.String(), "term", lack.status.Term, "rounds", search.Rounds,
-		"granted", namesOf(search.Granted), "refused", namesOf(search.Refused), "silent", namesOf(search.Silent))
+		"granted", namesOf(search.Granted), "refused", namesOf(search.Refused), "silent", namesOf(search.Unanswered))
 }
 
 // due returns the shard that has had no leader for longest, and whether it is to be told now.
--- a/internal/daemon/operator_backend.go
+++ b/internal/daemon/operator_backend.go
@@ -73,10 +73,10 @@
 }
 
 // Use counts the programs under way over all shards.
-func (b operatorBackend) Use(ctx context.Context) plan.Use {
+func (b operatorBackend) Use(ctx context.Context) plan.Usage {
 	configuration := b.daemon.store.InForce()
 	if configuration == nil {
-		return plan.Use{}
+		return plan.Usage{}
 	}
 	led := map[uint32]bool{}
 	counts := map[plan.ProgramCount]int{}
@@ -85,7 +85,7 @@
 			led[shard.GetShard()] = led[shard.GetShard()] || shard.GetServing()
 		}
 		for _, count := range answer.GetPrograms() {
-			domain, _ := placement.DomainOf(configuration.Domains, structs.ShardID(count.GetShard()))
+			domain, _ := placement.DomainOfShard(configuration.Domains, structs.ShardID(count.GetShard()))
 			key := plan.ProgramCount{
 				Program: structs.ProgramName(count.GetProgram()),
 				Tenant:  structs.TenantID(count.GetTenant()),
@@ -97,10 +97,10 @@
 	return useOf(counts, allLed(configuration, led))
 }
 
-func useOf(counts map[plan.ProgramCount]int, known bool) plan.Use {
-	use := plan.Use{Known: known}
+func useOf(counts map[plan.ProgramCount]int, known bool) plan.Usage {
+	use := plan.Usage{Complete: known}
 	for key, inFlight := range counts {
-		key.UnderWay = inFlight
+		key.Running = inFlight
 		use.Counts = append(use.Counts, key)
 	}
 	return use
--- a/internal/daemon/reconcile.go
+++ b/internal/daemon/reconcile.go
@@ -36,7 +36,7 @@
 		if configuration == nil {
 			continue
 		}
-		nodes := plan.OpenNodes(configuration.Declarations, d.cluster.View().Nodes)
+		nodes := plan.ApplyZoneDraining(configuration.Declarations, d.cluster.View().Nodes)
 		for _, status := range running.host.Statuses() {
 			d.reconcileShard(running, status, configuration, nodes)
 			if status.Serving {
@@ -51,7 +51,7 @@
 
 // publishChange tells where a shard is after its membership changed.
 func (d *Daemon) publishChange(running *core, status replication.Status, published map[structs.ShardID]uint64) {
-	version := status.Term<<termShift + status.MembersIndex
+	version := status.Term<<termShift + status.MembershipIndex
 	if published[status.Shard] == version {
 		return
 	}
@@ -64,7 +64,7 @@
 // daemon that is stopping knows which groups must first go on without it.
 // Nodes in a zone that drains are given as leaving.
 func (d *Daemon) reconcileShard(running *core, status replication.Status, configuration *structs.Configuration, nodes []structs.Node) {
-	domain, known := placement.DomainOf(configuration.Domains, status.Shard)
+	domain, known := placement.DomainOfShard(configuration.Domains, status.Shard)
 	if !known {
 		return
 	}
@@ -73,11 +73,11 @@
 		size = defaultReplicas
 	}
 	current := nodeIDs(status.Members)
-	wanted := placement.Wanted(domain, status.Shard, current, nodes, size)
+	wanted := placement.DesiredMembers(domain, status.Shard, current, nodes, size)
 	if sameNodes(wanted, current) {
-		wanted = placement.Spread(domain, status.Shard, current, nodes)
+		wanted = placement.ImproveZoneSpread(domain, status.Shard, current, nodes)
 	}
-	running.host.Reconcile(status.Shard, wantedMembers(wanted, status.Members))
+	running.host.ReconcileMembers(status.Shard, wantedMembers(wanted, status.Members))
 }
 
 func nodeIDs(members []replication.Member) []structs.NodeID {
--- a/internal/daemon/shares.go
+++ b/internal/daemon/shares.go
@@ -20,7 +20,7 @@
 // shareView is the cluster as the shares need it.
 func (d *Daemon) shareView() limit.View {
 	nodes := d.cluster.View().Nodes
-	view := limit.View{Known: len(nodes)}
+	view := limit.View{KnownNodes: len(nodes)}
 	for _, node := range nodes {
 		if node.State != structs.NodeDead {
 			view.Nodes = append(view.Nodes, node.ID)
@@ -35,11 +35,11 @@
 		if !known {
 			continue
 		}
-		d.peers.SendLimit(address, each.Message.Proto())
+		d.peers.SendLimit(address, each.Message.ToProto())
 	}
 }
 
 // ReceiveLimit takes shares of tenants' rates.
 func (d *Daemon) ReceiveLimit(wire *limitv1.Message) {
-	d.sendShares(d.shares.Receive(time.Now(), limit.MessageOf(wire)))
+	d.sendShares(d.shares.Receive(time.Now(), limit.MessageFromProto(wire)))
 }
--- a/internal/daemon/start.go
+++ b/internal/daemon/start.go
@@ -16,7 +16,7 @@
 // daemon has: that in the data folder if it is intact, or a new one.
 func (d *Daemon) prepareStore() error {
 	if folder := d.settings.DataFolder; folder != "" {
-		incarnation, err := replication.OpenIdentity(folder, d.self.Memory)
+		incarnation, err := replication.LoadOrCreateIncarnation(folder, d.self.Memory)
 		if err != nil {
 			return err
 		}
@@ -91,7 +91,7 @@
 // noteCacheEvent passes on what an engine says of its cache.
 func (d *Daemon) noteCacheEvent(id structs.EngineID, event engine.CacheEvent) {
 	if running := d.core.Load(); running != nil && !event.Stored {
-		running.executor.NoteEvicted(id, event.Holder, event.Tokens)
+		running.executor.LowerCachedTokens(id, event.Holder, event.Tokens)
 	}
 }
 
@@ -102,8 +102,8 @@
 		return
 	}
 	if node.State == structs.NodeSuspect || node.State == structs.NodeDead {
-		running.host.NodeSuspected(node.ID)
-		running.executor.NodeSuspected(node.ID)
+		running.host.SuspectNode(node.ID)
+		running.executor.CancelForwardsTo(node.ID)
 	}
 }
 
--- a/internal/declaration/check_program.go
+++ b/internal/declaration/check_program.go
@@ -100,7 +100,7 @@
 			continue
 		}
 		policy := placement.Policy{HistoryZones: program.HistoryZones, CacheZones: program.CacheZones}
-		if placement.Permit(policy, placement.ToolArguments, tool.Zone) != nil {
+		if placement.Check(policy, placement.ToolArguments, tool.Zone) != nil {
 			at.report(fmt.Sprintf("spec.tools[%d]", i), fmt.Sprintf("tool %q stands in %s, where the program's data may not go", name, tool.Zone),
 				"a tool in one of historyZones or cacheZones")
 		}
--- a/internal/directory/changelog.go
+++ b/internal/directory/changelog.go
@@ -35,9 +35,9 @@
 }
 
 func logWorkers(update WorkerUpdate) {
-	if len(update.In)+len(update.Out)+len(update.Lapsed) > 0 {
-		eventWorkers.Log("in", named(update.In), "out", named(update.Out), "lapsed", named(update.Lapsed),
-			"in_count", len(update.In), "out_count", len(update.Out), "lapsed_count", len(update.Lapsed))
+	if len(update.Added)+len(update.Removed)+len(update.Lapsed) > 0 {
+		eventWorkers.Log("in", named(update.Added), "out", named(update.Removed), "lapsed", named(update.Lapsed),
+			"in_count", len(update.Added), "out_count", len(update.Removed), "lapsed_count", len(update.Lapsed))
 	}
 }
 
--- a/internal/directory/discovery_test.go
+++ b/internal/directory/discovery_test.go
@@ -12,7 +12,7 @@
 
 // groupObjects has one group, or does not answer.
 type groupObjects struct {
-	Objects
+	Store
 	group *replicav1.Group
 	err   error
 }
@@ -21,7 +21,7 @@
 	return Object{Group: g.group}, g.group != nil && g.err == nil, g.err
 }
 
-func TestAProcessThatKnowsNoGroupAsksTheStoreForItsSystemFirst(t *testing.T) {
+func TestDiscoverSystemReadsGroupFromStore(t *testing.T) {
 	state := NewState(time.Now, nil)
 	require.NoError(t, DiscoverSystem(t.Context(), &groupObjects{group: &replicav1.Group{Epoch: 2, System: 7}}, state, time.Minute))
 	require.Equal(t, uint64(7), SystemOf(state.Groups()))
@@ -31,9 +31,9 @@
 	require.NoError(t, DiscoverSystem(t.Context(), silent, state, time.Minute), "it is known")
 }
 
-func TestAProcessThatFollowedAnotherSystemIsToldSo(t *testing.T) {
+func TestVerifySystemDetectsForeignSystem(t *testing.T) {
 	state := NewState(time.Now, nil)
-	state.OfferGroup(&replicav1.Group{Epoch: 2, System: 7}, "a")
+	state.ApplyPeerGroup(&replicav1.Group{Epoch: 2, System: 7}, "a")
 	require.NoError(t, VerifySystem(t.Context(), &groupObjects{group: &replicav1.Group{Epoch: 5, System: 7}}, state))
 	var foreign *ForeignSystem
 	require.ErrorAs(t, VerifySystem(t.Context(), &groupObjects{group: &replicav1.Group{Epoch: 1, System: 8}}, state), &foreign)
--- a/internal/directory/drains.go
+++ b/internal/directory/drains.go
@@ -31,9 +31,9 @@
 	return zones
 }
 
-// OfferZoneDrains takes all drained zones if their revision is later than what is known: an
+// ReplaceZoneDrains takes all drained zones if their revision is later than what is known: an
 // older word never lets a zone have requests again, nor takes them from it.
-func (s *State) OfferZoneDrains(zones []string, revision int64) {
+func (s *State) ReplaceZoneDrains(zones []string, revision int64) {
 	drained := make(map[string]bool, len(zones))
 	for _, zone := range zones {
 		drained[zone] = true
@@ -43,8 +43,8 @@
 	s.takeZoneDrains(drained, revision)
 }
 
-// ChangeZoneDrains takes the changes of a watch and the revision they lead to.
-func (s *State) ChangeZoneDrains(changes []Change, revision int64) {
+// ApplyZoneDrainChanges takes the changes of a watch and the revision they lead to.
+func (s *State) ApplyZoneDrainChanges(changes []Change, revision int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	drained := maps.Clone(s.view.Load().Drains.zones)
@@ -82,9 +82,9 @@
 	return &replicav1.DrainedZoneList{Revision: drains.Revision, Zones: drains.Zones()}
 }
 
-// OfferDrainedZoneList takes what another process passed on; nil is nothing.
-func (s *State) OfferDrainedZoneList(list *replicav1.DrainedZoneList) {
+// ApplyDrainedZoneList takes what another process passed on; nil is nothing.
+func (s *State) ApplyDrainedZoneList(list *replicav1.DrainedZoneList) {
 	if list != nil {
-		s.OfferZoneDrains(list.Zones, list.Revision)
+		s.ReplaceZoneDrains(list.Zones, list.Revision)
 	}
 }
--- a/internal/directory/drains_test.go
+++ b/internal/directory/drains_test.go
@@ -18,49 +18,49 @@
 	return Change{Object: Object{Name: zone, ZoneDrain: &ZoneDrain{Zone: zone}}, Deleted: gone}
 }
 
-func TestAnOlderListOfDrainedZonesNeverFillsAZone(t *testing.T) {
+func TestStaleZoneDrainsAreIgnored(t *testing.T) {
 	state := NewState(time.Now, nil)
 	require.False(t, state.View().Drains.Known())
-	state.OfferZoneDrains([]string{"a"}, 10)
-	state.OfferZoneDrains(nil, 9)
+	state.ReplaceZoneDrains([]string{"a"}, 10)
+	state.ReplaceZoneDrains(nil, 9)
 	require.True(t, state.View().Drains.Has("a"), "an older word")
-	state.OfferZoneDrains(nil, 10)
+	state.ReplaceZoneDrains(nil, 10)
 	require.True(t, state.View().Drains.Has("a"), "one that is as old")
-	state.ChangeZoneDrains([]Change{drainChange("a", true)}, 8)
+	state.ApplyZoneDrainChanges([]Change{drainChange("a", true)}, 8)
 	require.True(t, state.View().Drains.Has("a"), "an older change")
-	state.OfferDrainedZoneList(&replicav1.DrainedZoneList{Revision: 7})
-	state.OfferDrainedZoneList(nil)
+	state.ApplyDrainedZoneList(&replicav1.DrainedZoneList{Revision: 7})
+	state.ApplyDrainedZoneList(nil)
 	require.True(t, state.View().Drains.Has("a"))
 }
 
-func TestALaterListOfDrainedZonesReplacesTheWholeOne(t *testing.T) {
+func TestNewerZoneDrainListReplacesAllZones(t *testing.T) {
 	state := NewState(time.Now, nil)
-	state.OfferZoneDrains([]string{"a", "b"}, 10)
-	state.OfferZoneDrains([]string{"c"}, 11)
+	state.ReplaceZoneDrains([]string{"a", "b"}, 10)
+	state.ReplaceZoneDrains([]string{"c"}, 11)
 	require.Equal(t, []string{"c"}, state.View().Drains.Zones())
-	state.OfferZoneDrains(nil, 12)
+	state.ReplaceZoneDrains(nil, 12)
 	require.Empty(t, state.View().Drains.Zones())
 	require.True(t, state.View().Drains.Known(), "it is known that none is drained")
 }
 
-func TestChangesOfDrainedZonesLeadToTheSameSetAsAList(t *testing.T) {
+func TestZoneDrainChangesAgreeWithList(t *testing.T) {
 	state := NewState(time.Now, nil)
-	state.OfferZoneDrains([]string{"a"}, 10)
+	state.ReplaceZoneDrains([]string{"a"}, 10)
 	before := state.View().Drains
-	state.ChangeZoneDrains([]Change{drainChange("b", false), drainChange("a", true), drainChange("unknown", true)}, 14)
+	state.ApplyZoneDrainChanges([]Change{drainChange("b", false), drainChange("a", true), drainChange("unknown", true)}, 14)
 	require.Equal(t, []string{"b"}, state.View().Drains.Zones())
 	require.Equal(t, []string{"a"}, before.Zones(), "what readers hold does not change")
 	require.Nil(t, state.DrainedZoneList(14))
 	require.Equal(t, []string{"b"}, state.DrainedZoneList(13).Zones)
 
 	other := NewState(time.Now, nil)
-	other.OfferDrainedZoneList(state.DrainedZoneList(0))
+	other.ApplyDrainedZoneList(state.DrainedZoneList(0))
 	require.Equal(t, state.View().Drains, other.View().Drains)
 }
 
-// TestWhatIsKnownOfDrainsIsTheLatestOfAllWords tells a process words of the store's history
+// TestZoneDrainsReflectNewestRevision tells a process words of the store's history
 // in any order, as lists and as changes, as replicas and the store do.
-func TestWhatIsKnownOfDrainsIsTheLatestOfAllWords(t *testing.T) {
+func TestZoneDrainsReflectNewestRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := []map[string]bool{{}}
 		changes := [][]Change{nil}
@@ -85,13 +85,13 @@
 			from := rapid.IntRange(0, revision).Draw(t, "from")
 			if heard > 0 && from < heard && rapid.Bool().Draw(t, "watch") {
 				// A watch begins at a list that was taken, and tells all since.
-				state.ChangeZoneDrains(slices.Concat(changes[from+1:revision+1]...), int64(revision+1))
+				state.ApplyZoneDrainChanges(slices.Concat(changes[from+1:revision+1]...), int64(revision+1))
 			} else {
 				zones := make([]string, 0)
 				for zone := range history[revision] {
 					zones = append(zones, zone)
 				}
-				state.OfferZoneDrains(zones, int64(revision+1))
+				state.ReplaceZoneDrains(zones, int64(revision+1))
 			}
 			heard = max(heard, revision)
 			require.Equal(t, int64(heard+1), state.View().Drains.Revision)
@@ -104,7 +104,7 @@
 
 // countingObjects answers each kind and counts its calls.
 type countingObjects struct {
-	Objects
+	Store
 	mutex sync.Mutex
 	lists map[Kind]int
 	// drainWait is how long the last watch of drains may have lasted.
@@ -139,16 +139,16 @@
 	return o.lists[kind]
 }
 
-func TestAFeedFollowsDrainsOnlyWhereItIsTold(t *testing.T) {
+func TestZoneDrainsAreWatchedOnlyIfEnabled(t *testing.T) {
 	const patient, poll = time.Minute, 5 * time.Millisecond
 	for _, followed := range []bool{false, true} {
 		objects := &countingObjects{lists: make(map[Kind]int)}
 		state := NewState(time.Now, nil)
-		feed := NewFeed(objects, state, PassingOn)
+		feed := NewWatcher(objects, state, ReplicaTimings)
 		if followed {
-			feed.FollowZoneDrains(time.Second)
+			feed.EnableZoneDrains(time.Second)
 		}
-		feed.ListRest(t.Context())
+		feed.ListWorkersGroupsAndDrains(t.Context())
 		require.Equal(t, followed, state.View().Drains.Has("a"), "listed with the rest")
 		ctx, cancel := context.WithCancel(t.Context())
 		go feed.Run(ctx)
@@ -163,12 +163,12 @@
 	}
 }
 
-func TestManyThatFollowDrainsAskAStoreThatIsDownSeldomFromTheStart(t *testing.T) {
-	feed := NewFeed(nil, NewState(time.Now, nil), Hearing)
-	feed.SetLastRetry(16 * time.Second)
+func TestInitialBackoffIsLongerWithZoneDrains(t *testing.T) {
+	feed := NewWatcher(nil, NewState(time.Now, nil), GatewayTimings)
+	feed.SetMaxBackoff(16 * time.Second)
 	require.Equal(t, firstRetry, feed.firstRetry(), "as ever where no drains are followed")
-	feed.FollowZoneDrains(LongWait)
+	feed.EnableZoneDrains(WatchTimeout)
 	require.Equal(t, time.Second, feed.firstRetry())
-	feed.SetLastRetry(PassingOn.LastRetry)
+	feed.SetMaxBackoff(ReplicaTimings.MaxBackoff)
 	require.Equal(t, firstRetry, feed.firstRetry())
 }
--- a/internal/directory/fallback.go
+++ b/internal/directory/fallback.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// FreshNews is how old the word of a replica that the store answers may be before
+	// MaxReplicaReportAge is how old the word of a replica that the store answers may be before
 	// the store is followed directly: a question of a replica lasts 700 ms at most.
-	FreshNews = 800 * time.Millisecond
-	// FirstNews is how long after its start a process waits for such a word.
-	FirstNews = 600 * time.Millisecond
+	MaxReplicaReportAge = 800 * time.Millisecond
+	// InitialReplicaReportWait is how long after its start a process waits for such a word.
+	InitialReplicaReportWait = 600 * time.Millisecond
 	// directFor is how long the store is followed at least once that was begun: each
 	// beginning lists everything.
 	directFor = 3 * time.Second
@@ -20,9 +20,9 @@
 	newsChecked = 100 * time.Millisecond
 )
 
-// FollowWhile runs follow, which is to end with its context, during the times in which
+// RunWhile runs follow, which is to end with its context, during the times in which
 // wanted holds, until ctx ends.
-func FollowWhile(ctx context.Context, wanted func() bool, follow func(ctx context.Context)) {
+func RunWhile(ctx context.Context, wanted func() bool, follow func(ctx context.Context)) {
 	for pause.For(ctx, newsChecked) {
 		if !wanted() {
 			continue
--- a/internal/directory/feed.go
+++ b/internal/directory/feed.go
@@ -34,8 +34,8 @@
 	// this part of the longest distance between failed calls.
 	firstRetry      = 80 * time.Millisecond
 	firstRetryShare = 16
-	// LongWait is how long a watch lasts.
-	LongWait = 12 * time.Second
+	// WatchTimeout is how long a watch lasts.
+	WatchTimeout = 12 * time.Second
 	// probeWait is the wait of a watch after a failed call.
 	probeWait = 200 * time.Millisecond
 	// gather is the time for which changes of a kind with many objects are gathered
@@ -46,21 +46,21 @@
 // gathered are the kinds of which many objects may change at a time.
 var gathered = map[Kind]bool{KindWorker: true, KindReplica: true, KindGroup: true}
 
-// Pace is how closely a process follows the platform's store.
-type Pace struct {
-	// ConfigurationWait is how long a watch of the configuration lasts: a store that
+// Timings is how closely a process follows the platform's store.
+type Timings struct {
+	// ConfigurationWatchTimeout is how long a watch of the configuration lasts: a store that
 	// has fallen silent in the middle of a watch shows only when the watch is over,
 	// and then the watches of the other kinds are cut short.
-	ConfigurationWait time.Duration
-	// LastRetry is the longest time between failed calls.
-	LastRetry time.Duration
+	ConfigurationWatchTimeout time.Duration
+	// MaxBackoff is the longest time between failed calls.
+	MaxBackoff time.Duration
 }
 
 var (
-	// PassingOn is for processes that pass news on, Hearing for those that hear them
+	// ReplicaTimings is for processes that pass news on, Hearing for those that hear them
 	// from others too.
-	PassingOn = Pace{ConfigurationWait: 2 * time.Second, LastRetry: 400 * time.Millisecond}
-	Hearing   = Pace{ConfigurationWait: LongWait, LastRetry: 2 * time.Second}
+	ReplicaTimings = Timings{ConfigurationWatchTimeout: 2 * time.Second, MaxBackoff: 400 * time.Millisecond}
+	GatewayTimings = Timings{ConfigurationWatchTimeout: WatchTimeout, MaxBackoff: 2 * time.Second}
 )
 
 var (
@@ -81,15 +81,15 @@
 	SourceDisk = "disk"
 	// SourceSelf is this process, whose proposal was accepted.
 	SourceSelf = "self"
-	// SourceProven is a peer whose group has been shown to be this process's own.
-	SourceProven = "proven peer"
+	// SourceVerifiedPeer is a peer whose group has been shown to be this process's own.
+	SourceVerifiedPeer = "proven peer"
 )
 
-// Feed follows kinds of objects in the platform's store into a State.
-type Feed struct {
-	objects Objects
+// Watcher follows kinds of objects in the platform's store into a State.
+type Watcher struct {
+	objects Store
 	state   *State
-	pace    Pace
+	pace    Timings
 	// failing counts the kinds whose last call failed, heard those whose calls have
 	// been answered.
 	failing, heard atomic.Int32
@@ -107,84 +107,86 @@
 	suspicion chan struct{}
 }
 
-// NewFeed returns a feed; Run starts it.
-func NewFeed(objects Objects, state *State, pace Pace) *Feed {
-	feed := &Feed{objects: objects, state: state, pace: pace, suspicion: make(chan struct{}), outage: newOutage(), unusable: newUnusableEntries()}
-	feed.SetLastRetry(pace.LastRetry)
+// NewWatcher returns a feed; Run starts it.
+func NewWatcher(objects Store, state *State, pace Timings) *Watcher {
+	feed := &Watcher{objects: objects, state: state, pace: pace, suspicion: make(chan struct{}), outage: newOutage(), unusable: newUnusableEntries()}
+	feed.SetMaxBackoff(pace.MaxBackoff)
 	return feed
 }
 
-// FollowZoneDrains makes the feed follow which zones are drained too, by watches that last
+// EnableZoneDrains makes the feed follow which zones are drained too, by watches that last
 // for a time: a store that has fallen silent in the middle of one shows when it is over.
 // Without it no call is made for them. It is called before Run.
-func (f *Feed) FollowZoneDrains(wait time.Duration) { f.drainWait = wait }
+func (f *Watcher) EnableZoneDrains(wait time.Duration) { f.drainWait = wait }
 
-// Report keeps a gauge of the store's entries that name nothing to use.
-func (f *Feed) Report(registry *telemetry.Registry) { f.unusable.report(registry) }
+// RegisterMetrics keeps a gauge of the store's entries that name nothing to use.
+func (f *Watcher) RegisterMetrics(registry *telemetry.Registry) { f.unusable.report(registry) }
 
-// FollowsWorkers reports whether the workers are followed at the store, which answers.
-func (f *Feed) FollowsWorkers() bool { return f.workersHeard.Load() > 0 && f.failing.Load() == 0 }
+// WorkerWatchHealthy reports whether the workers are followed at the store, which answers.
+func (f *Watcher) WorkerWatchHealthy() bool {
+	return f.workersHeard.Load() > 0 && f.failing.Load() == 0
+}
 
-// Answering reports whether the store is followed and answers.
-func (f *Feed) Answering() bool { return f.heard.Load() > 0 && f.failing.Load() == 0 }
+// Healthy reports whether the store is followed and answers.
+func (f *Watcher) Healthy() bool { return f.heard.Load() > 0 && f.failing.Load() == 0 }
 
-// SetLastRetry changes the longest time between failed calls.
-func (f *Feed) SetLastRetry(last time.Duration) { f.lastRetry.Store(int64(last)) }
+// SetMaxBackoff changes the longest time between failed calls.
+func (f *Watcher) SetMaxBackoff(last time.Duration) { f.lastRetry.Store(int64(last)) }
 
 // firstRetry returns the time after the first failed call of a row.
-func (f *Feed) firstRetry() time.Duration {
+func (f *Watcher) firstRetry() time.Duration {
 	if f.drainWait == 0 {
 		return firstRetry
 	}
-	return max(firstRetry, f.LastRetry()/firstRetryShare)
+	return max(firstRetry, f.MaxBackoff()/firstRetryShare)
 }
 
-// LastRetry returns the longest time between failed calls.
-func (f *Feed) LastRetry() time.Duration { return time.Duration(f.lastRetry.Load()) }
+// MaxBackoff returns the longest time between failed calls.
+func (f *Watcher) MaxBackoff() time.Duration { return time.Duration(f.lastRetry.Load()) }
 
 // Run follows the configuration, the drained zones, the workers and the group until ctx
 // ends.
-func (f *Feed) Run(ctx context.Context) {
-	go f.RunConfiguration(ctx)
-	go f.RunZoneDrains(ctx)
-	f.RunRest(ctx)
+func (f *Watcher) Run(ctx context.Context) {
+	go f.WatchConfiguration(ctx)
+	go f.WatchZoneDrains(ctx)
+	f.WatchWorkersAndGroups(ctx)
 }
 
-// RunConfiguration follows the configuration alone until ctx ends.
-func (f *Feed) RunConfiguration(ctx context.Context) {
-	f.Follow(ctx, KindConfiguration, "configuration", f.pace.ConfigurationWait, f.takeConfiguration)
+// WatchConfiguration follows the configuration alone until ctx ends.
+func (f *Watcher) WatchConfiguration(ctx context.Context) {
+	f.ListAndWatch(ctx, KindConfiguration, "configuration", f.pace.ConfigurationWatchTimeout, f.takeConfiguration)
 }
 
-// RunZoneDrains follows the drained zones alone until ctx ends; it returns at once where
+// WatchZoneDrains follows the drained zones alone until ctx ends; it returns at once where
 // they are not followed.
-func (f *Feed) RunZoneDrains(ctx context.Context) {
+func (f *Watcher) WatchZoneDrains(ctx context.Context) {
 	if f.drainWait > 0 {
-		f.Follow(ctx, KindZoneDrain, "zone drains", f.drainWait, f.takeZoneDrains)
+		f.ListAndWatch(ctx, KindZoneDrain, "zone drains", f.drainWait, f.takeZoneDrains)
 	}
 }
 
-// RunRest follows the workers and the group until ctx ends.
-func (f *Feed) RunRest(ctx context.Context) {
-	go f.Follow(ctx, KindGroup, "groups", LongWait, f.takeGroup)
-	f.Follow(ctx, KindWorker, "workers", LongWait, f.takeWorkers)
+// WatchWorkersAndGroups follows the workers and the group until ctx ends.
+func (f *Watcher) WatchWorkersAndGroups(ctx context.Context) {
+	go f.ListAndWatch(ctx, KindGroup, "groups", WatchTimeout, f.takeGroup)
+	f.ListAndWatch(ctx, KindWorker, "workers", WatchTimeout, f.takeWorkers)
 }
 
 // ListConfiguration lists the configuration once. A call that fails is not repeated.
-func (f *Feed) ListConfiguration(ctx context.Context) {
+func (f *Watcher) ListConfiguration(ctx context.Context) {
 	f.listOnce(ctx, KindConfiguration, "configuration", f.takeConfiguration)
 }
 
 // ListZoneDrains lists the drained zones once, where they are followed. A call that fails
 // is not repeated.
-func (f *Feed) ListZoneDrains(ctx context.Context) {
+func (f *Watcher) ListZoneDrains(ctx context.Context) {
 	if f.drainWait > 0 {
 		f.listOnce(ctx, KindZoneDrain, "zone drains", f.takeZoneDrains)
 	}
 }
 
-// ListRest lists the workers, the groups and the drained zones once. A call that fails is
+// ListWorkersGroupsAndDrains lists the workers, the groups and the drained zones once. A call that fails is
 // not repeated.
-func (f *Feed) ListRest(ctx context.Context) {
+func (f *Watcher) ListWorkersGroupsAndDrains(ctx context.Context) {
 	var listing sync.WaitGroup
 	listing.Go(func() { f.listOnce(ctx, KindGroup, "groups", f.takeGroup) })
 	listing.Go(func() { f.listOnce(ctx, KindWorker, "workers", f.takeWorkers) })
@@ -192,59 +194,59 @@
 	listing.Wait()
 }
 
-func (f *Feed) listOnce(ctx context.Context, kind Kind, name string, take func(Listing, []Change, int64)) {
+func (f *Watcher) listOnce(ctx context.Context, kind Kind, name string, take func(Listing, []Change, int64)) {
 	if _, err := f.step(ctx, nil, kind, 0, 0, take); err != nil {
 		eventStoreLost.Log("kind", name, "cause", err.Error())
 	}
 }
 
-func (f *Feed) takeConfiguration(listing Listing, changes []Change, _ int64) {
+func (f *Watcher) takeConfiguration(listing Listing, changes []Change, _ int64) {
 	for _, object := range listing.Objects {
-		f.state.OfferConfiguration(object.Configuration)
+		f.state.ApplyConfiguration(object.Configuration)
 	}
 	for _, change := range changes {
-		f.state.OfferConfiguration(change.Object.Configuration)
+		f.state.ApplyConfiguration(change.Object.Configuration)
 	}
 }
 
-func (f *Feed) takeGroup(listing Listing, changes []Change, _ int64) {
+func (f *Watcher) takeGroup(listing Listing, changes []Change, _ int64) {
 	for _, object := range listing.Objects {
-		f.state.TakeGroup(object.Group, SourceStore)
+		f.state.ApplyGroup(object.Group, SourceStore)
 	}
 	for _, change := range changes {
-		f.state.TakeGroup(change.Object.Group, SourceStore)
+		f.state.ApplyGroup(change.Object.Group, SourceStore)
 	}
 }
 
-func (f *Feed) takeWorkers(listing Listing, changes []Change, revision int64) {
+func (f *Watcher) takeWorkers(listing Listing, changes []Change, revision int64) {
 	if listing.Revision == 0 {
-		f.state.ChangeWorkers(changes, revision)
+		f.state.ApplyWorkerChanges(changes, revision)
 		return
 	}
 	workers := make([]Worker, 0, len(listing.Objects))
 	for _, object := range listing.Objects {
 		workers = append(workers, *object.Worker)
 	}
-	f.state.OfferWorkers(workers, revision, listing.Unusable...)
+	f.state.ReplaceWorkers(workers, revision, listing.Unusable...)
 }
 
-func (f *Feed) takeZoneDrains(listing Listing, changes []Change, revision int64) {
+func (f *Watcher) takeZoneDrains(listing Listing, changes []Change, revision int64) {
 	if listing.Revision == 0 {
-		f.state.ChangeZoneDrains(changes, revision)
+		f.state.ApplyZoneDrainChanges(changes, revision)
 		return
 	}
 	zones := make([]string, 0, len(listing.Objects))
 	for _, object := range listing.Objects {
 		zones = append(zones, object.Name)
 	}
-	f.state.OfferZoneDrains(zones, revision)
+	f.state.ReplaceZoneDrains(zones, revision)
 }
 
-// Follow lists a kind once and then watches it; after lost history it lists
+// ListAndWatch lists a kind once and then watches it; after lost history it lists
 // again. A failed call is repeated after a growing pause, by one kind for all whose
 // calls fail. When a call of another kind has failed, a watch that waits is cut short:
 // it may wait on a connection that will say nothing more.
-func (f *Feed) Follow(ctx context.Context, kind Kind, name string, wait time.Duration, take func(Listing, []Change, int64)) {
+func (f *Watcher) ListAndWatch(ctx context.Context, kind Kind, name string, wait time.Duration, take func(Listing, []Change, int64)) {
 	var revision int64
 	retry, failed, short, heard := f.firstRetry(), false, false, false
 	defer func() {
@@ -291,13 +293,13 @@
 			eventStoreLost.Log("kind", name, "cause", err.Error())
 		}
 		f.outage.pause(ctx, kind, retry)
-		retry = min(2*retry, f.LastRetry())
+		retry = min(2*retry, f.MaxBackoff())
 	}
 	f.outage.leave(kind)
 }
 
 // noteHeard counts a follower of a kind whose calls are answered, or takes it back.
-func (f *Feed) noteHeard(kind Kind, change int32) {
+func (f *Watcher) noteHeard(kind Kind, change int32) {
 	f.heard.Add(change)
 	if kind == KindWorker {
 		f.workersHeard.Add(change)
@@ -305,14 +307,14 @@
 }
 
 // suspected returns a channel that is closed when the next call fails.
-func (f *Feed) suspected() <-chan struct{} {
+func (f *Watcher) suspected() <-chan struct{} {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.suspicion
 }
 
 // suspect cuts all watches short that wait.
-func (f *Feed) suspect() {
+func (f *Watcher) suspect() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	close(f.suspicion)
@@ -341,7 +343,7 @@
 	return ended, cancel
 }
 
-func (f *Feed) step(ctx context.Context, suspected <-chan struct{}, kind Kind, revision int64, wait time.Duration, take func(Listing, []Change, int64)) (int64, error) {
+func (f *Watcher) step(ctx context.Context, suspected <-chan struct{}, kind Kind, revision int64, wait time.Duration, take func(Listing, []Change, int64)) (int64, error) {
 	if revision == 0 {
 		listing, err := f.objects.List(ctx, kind)
 		if err != nil {
--- a/internal/directory/feed_test.go
+++ b/internal/directory/feed_test.go
@@ -15,7 +15,7 @@
 // nothing for as long as they may wait, and those of the configuration fail when
 // the test says so.
 type hangingObjects struct {
-	Objects
+	Store
 	fail chan struct{}
 
 	mutex   sync.Mutex
@@ -47,12 +47,12 @@
 	return o.watches[kind]
 }
 
-// TestAWatchIsCutShortWhenAnotherKindFails holds that a watch on a connection
+// TestWatchIsCanceledWhenAnotherKindFails holds that a watch on a connection
 // that says nothing more does not keep news back for its whole wait.
-func TestAWatchIsCutShortWhenAnotherKindFails(t *testing.T) {
+func TestWatchIsCanceledWhenAnotherKindFails(t *testing.T) {
 	const patient, poll = time.Minute, 5 * time.Millisecond
 	objects := &hangingObjects{fail: make(chan struct{}), watches: make(map[Kind]int)}
-	feed := NewFeed(objects, NewState(time.Now, nil), PassingOn)
+	feed := NewWatcher(objects, NewState(time.Now, nil), ReplicaTimings)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go feed.Run(ctx)
@@ -66,7 +66,7 @@
 
 // listedObjects answers each list with one object.
 type listedObjects struct {
-	Objects
+	Store
 }
 
 func (listedObjects) List(_ context.Context, kind Kind) (Listing, error) {
@@ -76,10 +76,10 @@
 	return Listing{Revision: 5, Objects: []Object{{Name: GroupName(0), Group: &replicav1.Group{Epoch: 3}}}}, nil
 }
 
-func TestWorkersAndGroupAreListedOnce(t *testing.T) {
+func TestListWorkersGroupsAndDrains(t *testing.T) {
 	state := NewState(time.Now, nil)
-	NewFeed(listedObjects{}, state, Hearing).ListRest(t.Context())
-	require.Len(t, state.View().Workers.All("s"), 1)
+	NewWatcher(listedObjects{}, state, GatewayTimings).ListWorkersGroupsAndDrains(t.Context())
+	require.Len(t, state.View().Workers.List("s"), 1)
 	require.EqualValues(t, 3, state.Group(0).Epoch)
 	require.EqualValues(t, 5, state.WorkersRevision())
 }
--- a/internal/directory/foreign_test.go
+++ b/internal/directory/foreign_test.go
@@ -9,21 +9,21 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-func TestAGroupOfAnotherSystemIsRefusedHoweverNewItIs(t *testing.T) {
+func TestForeignGroupIsRejectedDespiteHigherEpoch(t *testing.T) {
 	state := NewState(time.Now, nil)
 	own := &replicav1.Group{Epoch: 3, Partitions: 2, System: 7}
-	state.OfferGroup(own, "a")
-	state.OfferGroup(&replicav1.Group{Epoch: 9, Partitions: 2, System: 8}, "b")
-	state.TakeGroup(&replicav1.Group{Epoch: 9, Partition: 1, Partitions: 2, System: 8}, SourceStore)
+	state.ApplyPeerGroup(own, "a")
+	state.ApplyPeerGroup(&replicav1.Group{Epoch: 9, Partitions: 2, System: 8}, "b")
+	state.ApplyGroup(&replicav1.Group{Epoch: 9, Partition: 1, Partitions: 2, System: 8}, SourceStore)
 	require.Equal(t, []*replicav1.Group{own, nil}, state.Groups())
-	state.OfferGroup(&replicav1.Group{Epoch: 4, Partitions: 2}, "without a system")
+	state.ApplyPeerGroup(&replicav1.Group{Epoch: 4, Partitions: 2}, "without a system")
 	require.Equal(t, []*replicav1.Group{own, nil}, state.Groups())
 }
 
-func TestASystemOfAFormerReleaseTakesItsName(t *testing.T) {
+func TestGroupWithoutSystemIsReplacedByOneWithSystem(t *testing.T) {
 	state := NewState(time.Now, nil)
-	state.OfferGroup(&replicav1.Group{Epoch: 3}, "a")
+	state.ApplyPeerGroup(&replicav1.Group{Epoch: 3}, "a")
 	named := &replicav1.Group{Epoch: 4, System: 7}
-	state.TakeGroup(named, SourceStore)
+	state.ApplyGroup(named, SourceStore)
 	require.Equal(t, named, state.Group(0))
 }
--- a/internal/directory/growth_test.go
+++ b/internal/directory/growth_test.go
@@ -19,7 +19,7 @@
 	for i := range listed {
 		instance := fmt.Sprintf("i-%010x", i)
 		listed[i] = Worker{
-			ID: LifeID(instance, 1700000000000), Instance: instance, Started: 1700000000000, Service: []string{"model", "model", "tools"}[i%3],
+			ID: IncarnationID(instance, 1700000000000), Instance: instance, StartedMs: 1700000000000, Service: []string{"model", "model", "tools"}[i%3],
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Zone: fmt.Sprintf("zone-%d", i%6), Slots: 6,
 		}
 	}
@@ -30,13 +30,13 @@
 func changing(workers int) (state *State, change func()) {
 	listed := fleet(workers)
 	state = NewState(time.Now, LogChanges())
-	state.OfferWorkers(listed, 1)
+	state.ReplaceWorkers(listed, 1)
 	revision, next := int64(1), 0
 	return state, func() {
 		revision, next = revision+1, next+1
 		changed := listed[next*7%workers]
 		changed.Slots += next
-		state.ChangeWorkers([]Change{entryOf(changed)}, revision)
+		state.ApplyWorkerChanges([]Change{entryOf(changed)}, revision)
 	}
 }
 
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestAChangeCostsWhatHasChanged compares what one change allocates among n and 4n workers, and
+// TestWorkerChangeCostIsIndependentOfFleetSize compares what one change allocates among n and 4n workers, and
 // holds the bound of 20 KB among 10,000.
-func TestAChangeCostsWhatHasChanged(t *testing.T) {
+func TestWorkerChangeCostIsIndependentOfFleetSize(t *testing.T) {
 	measure := func(workers int) float64 {
 		_, change := changing(workers)
 		change()
@@ -96,42 +96,42 @@
 	require.LessOrEqual(t, bytesOf(change), uint64(20<<10))
 }
 
-// TestAListWithNothingNewCostsNoNewWorkers is about lists that come anew when a history was lost.
-func TestAListWithNothingNewCostsNoNewWorkers(t *testing.T) {
+// TestUnchangedListAllocatesNoWorkers is about lists that come anew when a history was lost.
+func TestUnchangedListAllocatesNoWorkers(t *testing.T) {
 	state := NewState(time.Now, nil)
 	listed := fleet(10_000)
-	state.OfferWorkers(listed, 1)
+	state.ReplaceWorkers(listed, 1)
 	before, revision := state.View().Workers, int64(1)
 	perList := testing.AllocsPerRun(5, func() {
 		revision++
-		state.OfferWorkers(listed, revision)
+		state.ReplaceWorkers(listed, revision)
 	})
 	require.Same(t, before, state.View().Workers)
 	require.Less(t, perList, 50.0)
 }
 
-func TestTheListToPassOnIsMadeOnceForAllWhoAsk(t *testing.T) {
+func TestEncodedWorkerListsAreCached(t *testing.T) {
 	state := NewState(time.Now, nil)
-	state.OfferWorkers(fleet(100), 1)
+	state.ReplaceWorkers(fleet(100), 1)
 	require.Same(t, state.WorkerList(), state.WorkerChanges(0))
 	changed := fleet(1)[0]
 	changed.Slots++
-	state.ChangeWorkers([]Change{entryOf(changed)}, 2)
+	state.ApplyWorkerChanges([]Change{entryOf(changed)}, 2)
 	require.Same(t, state.WorkerChanges(1), state.WorkerChanges(1))
 	require.Len(t, state.WorkerChanges(1).Workers, 1)
 	require.Len(t, state.WorkerList().Workers, 100)
 }
 
-func TestThousandsThatLapseAndComeBackCostOneTimer(t *testing.T) {
+func TestManyLapsedWorkersShareOneTimer(t *testing.T) {
 	state := NewState(time.Now, nil)
 	timers := 0
 	state.after = func(time.Duration, func()) { timers++ }
 	listed := fleet(5000)
-	state.OfferWorkers(listed, 1)
-	state.OfferWorkers(nil, 2)
+	state.ReplaceWorkers(listed, 1)
+	state.ReplaceWorkers(nil, 2)
 	require.Equal(t, 1, timers)
 	require.Len(t, state.lapsed, 5000)
-	state.OfferWorkers(listed, 3)
+	state.ReplaceWorkers(listed, 3)
 	require.Empty(t, state.lapsed)
 	require.Equal(t, 5000, state.View().Workers.Count("model")+state.View().Workers.Count("tools"))
 }
@@ -186,16 +186,16 @@
 		return listed
 	}
 	for service := range workers.services {
-		for each := range workers.Of(service) {
+		for each := range workers.InService(service) {
 			listed[each.Worker] = each.Lapsed
 		}
 	}
 	return listed
 }
 
-// TestWorkersAgreeWithAPlainModel plays lists and changes, holds that each view and what is told
+// TestWorkersAgreeWithReferenceState plays lists and changes, holds that each view and what is told
 // of its change agree with whole maps, and that views which readers hold do not change.
-func TestWorkersAgreeWithAPlainModel(t *testing.T) {
+func TestWorkersAgreeWithReferenceState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := &model{now: time.Unix(1000, 0), workers: make(map[string]Worker), lapsed: make(map[string]lapsedWorkerOfModel)}
 		var updates []WorkerUpdate
@@ -233,15 +233,15 @@
 				for _, worker := range list {
 					plain.put(worker)
 				}
-				state.OfferWorkers(slices.Collect(maps.Values(list)), int64(revision+1))
+				state.ReplaceWorkers(slices.Collect(maps.Values(list)), int64(revision+1))
 			case 1:
 				worker := draw()
 				plain.put(worker)
-				state.ChangeWorkers([]Change{entryOf(worker)}, int64(revision+1))
+				state.ApplyWorkerChanges([]Change{entryOf(worker)}, int64(revision+1))
 			case 2:
 				instance := draw().Instance
 				plain.gone(instance)
-				state.ChangeWorkers([]Change{{Object: Object{Name: instance}, Deleted: true}}, int64(revision+1))
+				state.ApplyWorkerChanges([]Change{{Object: Object{Name: instance}, Deleted: true}}, int64(revision+1))
 			case 3:
 				plain.expire()
 				state.expire()
@@ -257,10 +257,10 @@
 				require.Equal(t, worker, found.Worker)
 			}
 			for _, update := range updates {
-				for _, id := range update.Out {
+				for _, id := range update.Removed {
 					delete(known, id)
 				}
-				for _, id := range update.In {
+				for _, id := range update.Added {
 					known[id] = false
 				}
 				for _, id := range update.Lapsed {
@@ -276,10 +276,10 @@
 	})
 }
 
-func TestASubsetHasEachZoneAndChangesLittle(t *testing.T) {
+func TestSubsetCoversAllZonesAndIsStable(t *testing.T) {
 	state := NewState(time.Now, nil)
 	listed := fleet(3000)
-	state.OfferWorkers(listed, 1)
+	state.ReplaceWorkers(listed, 1)
 	subset := func() map[string]bool {
 		members := make(map[string]bool)
 		for _, each := range state.View().Workers.Subset("model", 20) {
@@ -299,7 +299,7 @@
 	gone := state.View().Workers.Subset("model", 20)[0]
 	drained := gone.Worker
 	drained.Draining = true
-	state.ChangeWorkers([]Change{entryOf(drained)}, 2)
+	state.ApplyWorkerChanges([]Change{entryOf(drained)}, 2)
 	after := subset()
 	require.NotContains(t, after, gone.ID)
 	changed := 0
@@ -312,8 +312,8 @@
 	require.Len(t, state.View().Workers.Subset("model", 5000), state.View().Workers.Count("model"), "all, where there are few")
 }
 
-// TestReadersSeeOneMomentWhileWorkersChange is for the race detector: views share their nodes.
-func TestReadersSeeOneMomentWhileWorkersChange(t *testing.T) {
+// TestSnapshotsAreConsistentDuringConcurrentChanges is for the race detector: views share their nodes.
+func TestSnapshotsAreConsistentDuringConcurrentChanges(t *testing.T) {
 	state, change := changing(500)
 	done := make(chan struct{})
 	var readers sync.WaitGroup
@@ -327,7 +327,7 @@
 				}
 				workers := state.View().Workers
 				count := 0
-				for each := range workers.Of("model") {
+				for each := range workers.InService("model") {
 					found, _ := workers.Find(each.ID)
 					if found != each {
 						t.Errorf("%s differs", each.ID)
--- a/internal/directory/life.go
+++ b/internal/directory/life.go
@@ -10,11 +10,11 @@
 // lifeSeparator stands between an instance and the start of one of its lives.
 const lifeSeparator = "@"
 
-// LifeID names one life of a worker: the instance that it is registered as, and its start in
+// IncarnationID names one life of a worker: the instance that it is registered as, and its start in
 // Unix ms, 0 where that is not known. Everything that is believed of a worker is kept under
 // this name, so that a worker which starts again is a new one by construction, and nothing
 // of its former life is used. Two lives never share a name, whatever instances are called.
-func LifeID(instance string, started int64) string {
+func IncarnationID(instance string, started int64) string {
 	if started == 0 && !strings.Contains(instance, lifeSeparator) {
 		return instance
 	}
@@ -40,12 +40,12 @@
 // comes.
 func (l lives) admits(worker Worker, now time.Time) bool {
 	switch {
-	case worker.Started == 0:
+	case worker.StartedMs == 0:
 		return true
-	case worker.Started < l[worker.Instance], worker.Started > now.Add(maxStartAhead).UnixMilli():
+	case worker.StartedMs < l[worker.Instance], worker.StartedMs > now.Add(maxStartAhead).UnixMilli():
 		return false
 	}
-	l[worker.Instance] = worker.Started
+	l[worker.Instance] = worker.StartedMs
 	return true
 }
 
--- a/internal/directory/memory_test.go
+++ b/internal/directory/memory_test.go
@@ -20,13 +20,13 @@
 	return stats.HeapAlloc
 }
 
-// TestWhatAProcessHoldsOfAWorkerIsBounded is about a whole fleet's list as a replica passes it on,
+// TestMemoryPerWorkerIsBounded is about a whole fleet's list as a replica passes it on,
 // taken by a gateway, with the subset that requests choose from. It was 770 bytes a worker when
 // each view had lists and maps of its own.
-func TestWhatAProcessHoldsOfAWorkerIsBounded(t *testing.T) {
+func TestMemoryPerWorkerIsBounded(t *testing.T) {
 	const workers, mostEach = 10_000, 500
 	from := NewState(time.Now, nil)
-	from.OfferWorkers(fleet(workers), 1)
+	from.ReplaceWorkers(fleet(workers), 1)
 	encoded, err := proto.Marshal(from.WorkerList())
 	require.NoError(t, err)
 	from = nil
@@ -34,7 +34,7 @@
 	state := NewState(time.Now, LogChanges())
 	list := &replicav1.WorkerList{}
 	require.NoError(t, proto.Unmarshal(encoded, list))
-	state.OfferWorkerList(list)
+	state.ApplyWorkerList(list)
 	list = nil
 	state.View().Workers.Subset("model", 32)
 	after := liveBytes()
--- a/internal/directory/objects.go
+++ b/internal/directory/objects.go
@@ -45,22 +45,22 @@
 
 // Worker is one life of a back end as it describes itself.
 type Worker struct {
-	// ID is its LifeID.
+	// ID is its IncarnationID.
 	ID string
 	// Instance is the name that it is registered as, which a later life may have too.
 	Instance string
-	// Started is the start of this life in Unix ms by the worker's clock; 0 is not known.
-	Started int64
-	Service string
+	// StartedMs is the start of this life in Unix ms by the worker's clock; 0 is not known.
+	StartedMs int64
+	Service   string
 	// Address is an IP and a port.
 	Address string
 	Zone    string
 	Slots   int
 	// Draining workers take no new work.
 	Draining bool
-	// ColdLeft is for how long the worker said, when it wrote its entry, that it bears
+	// ColdRemaining is for how long the worker said, when it wrote its entry, that it bears
 	// few requests a second; 0 is none.
-	ColdLeft time.Duration
+	ColdRemaining time.Duration
 }
 
 // Replica is a node that can hold a seat of the group.
@@ -86,20 +86,20 @@
 type Listing struct {
 	Objects  []Object
 	Revision int64
-	// Unusable are the entries that name no object to use. They are not in Objects.
-	Unusable []Unusable
+	// UnusableEntry are the entries that name no object to use. They are not in Objects.
+	Unusable []UnusableEntry
 }
 
 // Change is one event of a watch. Of a deleted object only the name is set.
 type Change struct {
 	Object  Object
 	Deleted bool
-	// Unusable is why the entry names no object to use any more; such a change is Deleted.
-	Unusable *Unusable
+	// UnusableEntry is why the entry names no object to use any more; such a change is Deleted.
+	Unusable *UnusableEntry
 }
 
-// Objects is the platform's store.
-type Objects interface {
+// Store is the platform's store.
+type Store interface {
 	// List returns all objects of a kind.
 	List(ctx context.Context, kind Kind) (Listing, error)
 	// Watch waits up to wait for changes after a revision and returns the
--- a/internal/directory/outage_test.go
+++ b/internal/directory/outage_test.go
@@ -11,7 +11,7 @@
 
 // deadObjects is a store that answers nothing and counts the calls.
 type deadObjects struct {
-	Objects
+	Store
 	mutex sync.Mutex
 	calls map[Kind]int
 	alive bool
@@ -39,11 +39,11 @@
 	return calls
 }
 
-// TestOneKindAsksForAllWhetherTheStoreIsBack: each kind's calls asked for themselves,
+// TestOneKindRetriesForAllDuringOutage: each kind's calls asked for themselves,
 // and each refused call has its price.
-func TestOneKindAsksForAllWhetherTheStoreIsBack(t *testing.T) {
+func TestOneKindRetriesForAllDuringOutage(t *testing.T) {
 	objects := &deadObjects{calls: make(map[Kind]int)}
-	feed := NewFeed(objects, NewState(time.Now, nil), Pace{ConfigurationWait: time.Second, LastRetry: firstRetry})
+	feed := NewWatcher(objects, NewState(time.Now, nil), Timings{ConfigurationWatchTimeout: time.Second, MaxBackoff: firstRetry})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -51,7 +51,7 @@
 		feed.Run(ctx)
 	}()
 	require.Eventually(t, func() bool { return objects.total() >= 12 }, time.Minute, time.Millisecond)
-	require.False(t, feed.Answering())
+	require.False(t, feed.Healthy())
 	objects.mutex.Lock()
 	asking := 0
 	for _, calls := range objects.calls {
@@ -66,7 +66,7 @@
 	<-done
 }
 
-func TestAnotherKindAsksWhereTheOneThatDidIsNoLongerFollowed(t *testing.T) {
+func TestAnotherKindRetriesAfterProberIsReleased(t *testing.T) {
 	waiting := newOutage()
 	waiting.probing, waiting.prober = true, KindWorker
 	over := waiting.over
--- a/internal/directory/state_test.go
+++ b/internal/directory/state_test.go
@@ -12,35 +12,35 @@
 	"github.com/barleyshelf/barleyshelf/internal/route"
 )
 
-func TestAConfigurationNeverGoesBack(t *testing.T) {
+func TestOlderConfigurationIsIgnored(t *testing.T) {
 	state := NewState(time.Now, nil)
-	state.OfferConfiguration(&route.Configuration{Version: 7})
-	state.OfferConfiguration(&route.Configuration{Version: 4})
+	state.ApplyConfiguration(&route.Configuration{Version: 7})
+	state.ApplyConfiguration(&route.Configuration{Version: 4})
 	require.Equal(t, uint64(7), state.View().Table.Version(), "a stale read changes nothing")
-	state.OfferConfiguration(&route.Configuration{})
+	state.ApplyConfiguration(&route.Configuration{})
 	require.Equal(t, uint64(7), state.View().Table.Version())
 }
 
-func TestAGroupNeverGoesBack(t *testing.T) {
+func TestOlderGroupIsIgnored(t *testing.T) {
 	state := NewState(time.Now, nil)
-	state.OfferGroup(&replicav1.Group{Epoch: 3}, "")
-	state.OfferGroup(&replicav1.Group{Epoch: 2}, "")
-	state.OfferGroup(nil, "")
+	state.ApplyPeerGroup(&replicav1.Group{Epoch: 3}, "")
+	state.ApplyPeerGroup(&replicav1.Group{Epoch: 2}, "")
+	state.ApplyPeerGroup(nil, "")
 	require.Equal(t, uint64(3), state.Group(0).Epoch)
 }
 
-func TestAnOlderListOfWorkersChangesNothing(t *testing.T) {
+func TestStaleWorkersAreIgnored(t *testing.T) {
 	state := NewState(time.Now, nil)
-	state.OfferWorkers([]Worker{{ID: "a", Instance: "a", Service: "s"}}, 10)
-	state.OfferWorkers(nil, 9)
-	require.Len(t, state.View().Workers.All("s"), 1)
-	state.ChangeWorkers([]Change{{Object: Object{Name: "a", Worker: &Worker{ID: "a", Instance: "a", Service: "s", Draining: true}}}}, 11)
-	require.Empty(t, state.View().Workers.All("s"), "draining workers take no new work")
-	state.ChangeWorkers([]Change{{Object: Object{Name: "a", Worker: &Worker{ID: "a", Instance: "a", Service: "s"}}}}, 8)
-	require.Empty(t, state.View().Workers.All("s"))
+	state.ReplaceWorkers([]Worker{{ID: "a", Instance: "a", Service: "s"}}, 10)
+	state.ReplaceWorkers(nil, 9)
+	require.Len(t, state.View().Workers.List("s"), 1)
+	state.ApplyWorkerChanges([]Change{{Object: Object{Name: "a", Worker: &Worker{ID: "a", Instance: "a", Service: "s", Draining: true}}}}, 11)
+	require.Empty(t, state.View().Workers.List("s"), "draining workers take no new work")
+	state.ApplyWorkerChanges([]Change{{Object: Object{Name: "a", Worker: &Worker{ID: "a", Instance: "a", Service: "s"}}}}, 8)
+	require.Empty(t, state.View().Workers.List("s"))
 }
 
-func TestAWorkerThatGoesWithoutNoticeIsALastResortForAWhile(t *testing.T) {
+func TestLapsedWorkerExpiresAfterGracePeriod(t *testing.T) {
 	now := time.Unix(100, 0)
 	var mutex sync.Mutex
 	clock := func() time.Time {
@@ -49,9 +49,9 @@
 		return now
 	}
 	state := NewState(clock, nil)
-	state.OfferWorkers([]Worker{{ID: "a", Instance: "a", Service: "s"}, {ID: "b", Instance: "b", Service: "s", Draining: true}}, 1)
-	state.ChangeWorkers([]Change{{Object: Object{Name: "a"}, Deleted: true}, {Object: Object{Name: "b"}, Deleted: true}}, 2)
-	last := state.View().Workers.All("s")
+	state.ReplaceWorkers([]Worker{{ID: "a", Instance: "a", Service: "s"}, {ID: "b", Instance: "b", Service: "s", Draining: true}}, 1)
+	state.ApplyWorkerChanges([]Change{{Object: Object{Name: "a"}, Deleted: true}, {Object: Object{Name: "b"}, Deleted: true}}, 2)
+	last := state.View().Workers.List("s")
 	require.Len(t, last, 1)
 	require.Equal(t, Worker{ID: "a", Instance: "a", Service: "s"}, last[0].Worker)
 	require.True(t, last[0].Lapsed)
@@ -59,25 +59,25 @@
 	now = now.Add(lapseGrace)
 	mutex.Unlock()
 	state.expire()
-	require.Empty(t, state.View().Workers.All("s"))
+	require.Empty(t, state.View().Workers.List("s"))
 }
 
-func TestAWorkerThatComesBackIsNoLongerLapsed(t *testing.T) {
+func TestReturningWorkerIsNoLongerLapsed(t *testing.T) {
 	state := NewState(time.Now, nil)
-	state.OfferWorkers([]Worker{{ID: "a", Instance: "a", Service: "s"}}, 1)
-	state.OfferWorkers(nil, 2)
-	require.True(t, state.View().Workers.All("s")[0].Lapsed)
-	state.OfferWorkers([]Worker{{ID: "a", Instance: "a", Service: "s"}}, 3)
-	back := state.View().Workers.All("s")
+	state.ReplaceWorkers([]Worker{{ID: "a", Instance: "a", Service: "s"}}, 1)
+	state.ReplaceWorkers(nil, 2)
+	require.True(t, state.View().Workers.List("s")[0].Lapsed)
+	state.ReplaceWorkers([]Worker{{ID: "a", Instance: "a", Service: "s"}}, 3)
+	back := state.View().Workers.List("s")
 	require.Len(t, back, 1)
 	require.Equal(t, Worker{ID: "a", Instance: "a", Service: "s"}, back[0].Worker)
 	require.False(t, back[0].Lapsed)
 }
 
-func TestAListPassedOnByAnotherProcessIsTakenOver(t *testing.T) {
+func TestApplyWorkerListOfAnotherProcess(t *testing.T) {
 	from, to := NewState(time.Now, nil), NewState(time.Now, nil)
-	from.OfferWorkers([]Worker{{ID: "a", Instance: "a", Service: "s", Address: "1.2.3.4:5", Zone: "z", Slots: 3, Draining: true}}, 5)
-	to.OfferWorkerList(from.WorkerList())
+	from.ReplaceWorkers([]Worker{{ID: "a", Instance: "a", Service: "s", Address: "1.2.3.4:5", Zone: "z", Slots: 3, Draining: true}}, 5)
+	to.ApplyWorkerList(from.WorkerList())
 	require.Equal(t, int64(5), to.WorkersRevision())
 	require.Equal(t, from.WorkerList().Workers[0].Address, to.WorkerList().Workers[0].Address)
 	require.True(t, to.WorkerList().Workers[0].Draining)
@@ -85,7 +85,7 @@
 
 // scriptedObjects answers calls from a script and notes the waits of watches.
 type scriptedObjects struct {
-	Objects
+	Store
 	mutex   sync.Mutex
 	lists   int
 	watches []time.Duration
@@ -116,19 +116,19 @@
 func follow(answers ...error) *scriptedObjects {
 	ctx, cancel := context.WithCancel(context.Background())
 	objects := &scriptedObjects{answers: answers, done: cancel}
-	feed := NewFeed(objects, NewState(time.Now, nil), Hearing)
-	feed.Follow(ctx, KindConfiguration, "configuration", LongWait, func(Listing, []Change, int64) {})
+	feed := NewWatcher(objects, NewState(time.Now, nil), GatewayTimings)
+	feed.ListAndWatch(ctx, KindConfiguration, "configuration", WatchTimeout, func(Listing, []Change, int64) {})
 	return objects
 }
 
-func TestAWatchAfterAFailedCallIsShort(t *testing.T) {
+func TestWatchAfterFailedCallUsesProbeTimeout(t *testing.T) {
 	objects := follow(&StoreRefused{Status: 503}, nil)
-	require.Equal(t, []time.Duration{LongWait, probeWait, LongWait}, objects.watches,
+	require.Equal(t, []time.Duration{WatchTimeout, probeWait, WatchTimeout}, objects.watches,
 		"a store that has fallen silent in the middle of a watch must show soon")
 	require.Equal(t, 1, objects.lists, "the watch goes on where it was")
 }
 
-func TestLostHistoryIsListedAgain(t *testing.T) {
+func TestLostHistoryCausesNewList(t *testing.T) {
 	objects := follow(&HistoryLost{Revision: 1})
 	require.Equal(t, 2, objects.lists)
 }
--- a/internal/directory/unusable.go
+++ b/internal/directory/unusable.go
@@ -21,9 +21,9 @@
 	eventEntryMended   = event.Define(2608, event.Info, "an entry of the platform's store can be used again, or is gone", "")
 )
 
-// Unusable is why an entry of the platform's store names no object to use. Others than the
+// UnusableEntry is why an entry of the platform's store names no object to use. Others than the
 // product write there: what they write is input, and a bad entry costs nothing but itself.
-type Unusable struct {
+type UnusableEntry struct {
 	// Name is the entry's; "" where that cannot be read either.
 	Name string
 	// Field is the one that is wrong, Reason what is wrong with it.
@@ -31,18 +31,18 @@
 	Reason UnusableReason
 }
 
-func (u *Unusable) Error() string {
+func (u *UnusableEntry) Error() string {
 	return fmt.Sprintf("entry %q names nothing to use: field %q is %s", u.Name, u.Field, u.Reason)
 }
 
 // Type returns "entry_unusable".
-func (u *Unusable) Type() failure.Type { return "entry_unusable" }
+func (u *UnusableEntry) Type() failure.Type { return "entry_unusable" }
 
 // Outcome returns NotRun.
-func (u *Unusable) Outcome() failure.Outcome { return failure.NotRun }
+func (u *UnusableEntry) Outcome() failure.Outcome { return failure.NotRun }
 
 // Retry allows another try: its writer may mend it.
-func (u *Unusable) Retry() failure.Retry { return failure.Retry{Allowed: true} }
+func (u *UnusableEntry) Retry() failure.Retry { return failure.Retry{Allowed: true} }
 
 // UnusableReason is what is wrong with a field of an entry.
 type UnusableReason string
@@ -59,13 +59,13 @@
 // with every heartbeat that its writer sends.
 type unusableEntries struct {
 	mutex sync.Mutex
-	known map[Kind]map[string]Unusable
+	known map[Kind]map[string]UnusableEntry
 	// gauge is nil until the process has metrics.
 	gauge *prometheus.GaugeVec
 }
 
 func newUnusableEntries() *unusableEntries {
-	return &unusableEntries{known: make(map[Kind]map[string]Unusable)}
+	return &unusableEntries{known: make(map[Kind]map[string]UnusableEntry)}
 }
 
 // report keeps a gauge of the entries, by reason.
@@ -93,7 +93,7 @@
 	defer u.mutex.Unlock()
 	defer u.show()
 	before := u.known[kind]
-	u.known[kind] = make(map[string]Unusable, len(listing.Unusable))
+	u.known[kind] = make(map[string]UnusableEntry, len(listing.Unusable))
 	for _, entry := range listing.Unusable {
 		u.add(kind, entry, before)
 	}
@@ -113,7 +113,7 @@
 		known := u.known[kind]
 		if change.Unusable != nil {
 			if known == nil {
-				known = make(map[string]Unusable)
+				known = make(map[string]UnusableEntry)
 				u.known[kind] = known
 			}
 			u.add(kind, *change.Unusable, known)
@@ -127,7 +127,7 @@
 }
 
 // add notes an entry, and tells of it unless the same was told before. The mutex is held.
-func (u *unusableEntries) add(kind Kind, entry Unusable, before map[string]Unusable) {
+func (u *unusableEntries) add(kind Kind, entry UnusableEntry, before map[string]UnusableEntry) {
 	if told, was := before[entry.Name]; !was || told != entry {
 		eventEntryUnusable.Log("kind", kind.String(), "entry", entry.Name, "field", entry.Field, "reason", string(entry.Reason))
 	}
--- a/internal/directory/view.go
+++ b/internal/directory/view.go
@@ -18,9 +18,9 @@
 	Table *route.Table
 	// Workers are those of all services; nil until a list was heard.
 	Workers *Workers
-	// WorkersListed is when the last whole list of workers was heard: it has each worker's
+	// WorkersListedAt is when the last whole list of workers was heard: it has each worker's
 	// entry anew, also those that did not change.
-	WorkersListed time.Time
+	WorkersListedAt time.Time
 	// Groups are those of all partitions, by partition; empty until one is known, and
 	// nil for those that are not.
 	Groups []*replicav1.Group
@@ -45,23 +45,23 @@
 	return epochs
 }
 
-// Heard returns when this process last heard a worker's entry, by its own clock; the zero time
+// LastReceived returns when this process last heard a worker's entry, by its own clock; the zero time
 // for a lapsed worker, which has none.
-func (v *View) Heard(worker *Listed) time.Time {
+func (v *View) LastReceived(worker *WorkerRecord) time.Time {
 	switch {
 	case worker.Lapsed:
 		return time.Time{}
-	case v.WorkersListed.After(worker.Heard):
-		return v.WorkersListed
+	case v.WorkersListedAt.After(worker.ReceivedAt):
+		return v.WorkersListedAt
 	}
-	return worker.Heard
+	return worker.ReceivedAt
 }
 
 // WorkerUpdate is how the workers of a view differ from those of the view before it, by ID.
 type WorkerUpdate struct {
-	// In may take work and could not before, or only as a last resort; Out may not any more;
+	// Added may take work and could not before, or only as a last resort; Out may not any more;
 	// Lapsed have become a last resort.
-	In, Out, Lapsed []string
+	Added, Removed, Lapsed []string
 }
 
 // State builds views out of what several sources tell. A configuration and a
@@ -94,7 +94,7 @@
 	expiring bool
 	// touched is how each worker that has changed since the last view stood in it; nil is
 	// not at all.
-	touched map[string]*Listed
+	touched map[string]*WorkerRecord
 	changed func(*View, WorkerUpdate)
 	// encoded are the lists that were passed on of the present revision, by the revision
 	// that they follow.
@@ -107,18 +107,18 @@
 	state := &State{
 		now: now, after: func(wait time.Duration, run func()) { time.AfterFunc(wait, run) }, changed: changed, news: make(chan struct{}),
 		workers: make(map[string]*listing), lives: make(lives), lapsed: make(map[string]lapsedWorker),
-		usable: newWorkerTrees(), touched: make(map[string]*Listed),
+		usable: newWorkerTrees(), touched: make(map[string]*WorkerRecord),
 	}
 	state.view.Store(&View{})
 	return state
 }
 
-// HoldUnproven has groups that peers offer while none is known passed to unproven, which must not
+// SetUnverifiedGroupHandler has groups that peers offer while none is known passed to unproven, which must not
 // block: a peer may be of another system. It is called before the state is shared.
-func (s *State) HoldUnproven(unproven func(*replicav1.Group)) { s.unproven = unproven }
+func (s *State) SetUnverifiedGroupHandler(unproven func(*replicav1.Group)) { s.unproven = unproven }
 
-// KnowsSystem reports whether groups that peers offer are taken.
-func (s *State) KnowsSystem() bool { return s.unproven == nil || AnyGroup(s.Groups()) != nil }
+// AcceptsPeerGroups reports whether groups that peers offer are taken.
+func (s *State) AcceptsPeerGroups() bool { return s.unproven == nil || AnyGroup(s.Groups()) != nil }
 
 // AnyGroup returns one of the groups that are known, or nil.
 func AnyGroup(groups []*replicav1.Group) *replicav1.Group {
@@ -133,8 +133,8 @@
 // View returns the newest view.
 func (s *State) View() *View { return s.view.Load() }
 
-// News returns a channel that is closed with the next view.
-func (s *State) News() <-chan struct{} {
+// ViewChanged returns a channel that is closed with the next view.
+func (s *State) ViewChanged() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.news
@@ -147,8 +147,8 @@
 	return s.workersRevision
 }
 
-// OfferConfiguration takes a configuration if it is newer than the one known.
-func (s *State) OfferConfiguration(configuration *route.Configuration) {
+// ApplyConfiguration takes a configuration if it is newer than the one known.
+func (s *State) ApplyConfiguration(configuration *route.Configuration) {
 	if configuration == nil || configuration.Version == 0 {
 		return
 	}
@@ -173,33 +173,35 @@
 	return 0
 }
 
-// SameSystem reports whether two systems may be one, as far as both processes know theirs.
-func SameSystem(one, other uint64) bool { return one == other || one == 0 || other == 0 }
+// MayBeSameSystem reports whether two systems may be one, as far as both processes know theirs.
+func MayBeSameSystem(one, other uint64) bool { return one == other || one == 0 || other == 0 }
 
-// TakesGroup reports whether a process that knows its system may take a group. Once a system has a
+// AcceptsGroup reports whether a process that knows its system may take a group. Once a system has a
 // name, a group without one is of another system.
-func TakesGroup(own uint64, group *replicav1.Group) bool { return own == 0 || own == group.GetSystem() }
+func AcceptsGroup(own uint64, group *replicav1.Group) bool {
+	return own == 0 || own == group.GetSystem()
+}
 
-// OfferGroup is TakeGroup for a group that another process, the source, offers: it may be of
+// ApplyPeerGroup is ApplyGroup for a group that another process, the source, offers: it may be of
 // another system.
-func (s *State) OfferGroup(group *replicav1.Group, source string) {
-	if group != nil && !s.KnowsSystem() {
+func (s *State) ApplyPeerGroup(group *replicav1.Group, source string) {
+	if group != nil && !s.AcceptsPeerGroups() {
 		s.unproven(group)
 		return
 	}
-	s.TakeGroup(group, source)
+	s.ApplyGroup(group, source)
 }
 
-// TakeGroup takes a partition's group if its epoch is higher than the one known. One of another
+// ApplyGroup takes a partition's group if its epoch is higher than the one known. One of another
 // system is refused, whoever reports it: addresses change hands. source is for the log.
-func (s *State) TakeGroup(group *replicav1.Group, source string) {
+func (s *State) ApplyGroup(group *replicav1.Group, source string) {
 	if group == nil {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	current := s.view.Load()
-	if known := SystemOf(current.Groups); !TakesGroup(known, group) {
+	if known := SystemOf(current.Groups); !AcceptsGroup(known, group) {
 		s.logForeign(group, known, source)
 		return
 	}
--- a/internal/directory/workers.go
+++ b/internal/directory/workers.go
@@ -120,10 +120,10 @@
 	return list
 }
 
-// OfferWorkerList takes a list, or changes, that another process passed on. Changes
+// ApplyWorkerList takes a list, or changes, that another process passed on. Changes
 // that follow on a later revision than the one known here are left: the next question
 // brings those that fit.
-func (s *State) OfferWorkerList(list *replicav1.WorkerList) {
+func (s *State) ApplyWorkerList(list *replicav1.WorkerList) {
 	if list == nil {
 		return
 	}
@@ -142,7 +142,7 @@
 		decoded := decodeWorker(worker)
 		changes = append(changes, Change{Object: Object{Name: decoded.Instance, Worker: &decoded}})
 	}
-	s.ChangeWorkers(changes, list.Revision)
+	s.ApplyWorkerChanges(changes, list.Revision)
 }
 
 // decoded returns workers as they were passed on, one after another.
@@ -159,8 +159,8 @@
 func encodeWorker(worker Worker) *replicav1.Worker {
 	return &replicav1.Worker{
 		Id: worker.ID, Service: worker.Service, Address: worker.Address, Zone: worker.Zone,
-		Slots: uint32(worker.Slots), Draining: worker.Draining, ColdForMs: uint32(worker.ColdLeft.Milliseconds()),
-		Instance: worker.Instance, StartedMs: worker.Started,
+		Slots: uint32(worker.Slots), Draining: worker.Draining, ColdForMs: uint32(worker.ColdRemaining.Milliseconds()),
+		Instance: worker.Instance, StartedMs: worker.StartedMs,
 	}
 }
 
@@ -172,8 +172,8 @@
 		instance = worker.Id
 	}
 	return Worker{
-		ID: LifeID(instance, worker.StartedMs), Instance: instance, Started: worker.StartedMs,
+		ID: IncarnationID(instance, worker.StartedMs), Instance: instance, StartedMs: worker.StartedMs,
 		Service: worker.Service, Address: worker.Address, Zone: worker.Zone,
-		Slots: int(worker.Slots), Draining: worker.Draining, ColdLeft: time.Duration(worker.ColdForMs) * time.Millisecond,
+		Slots: int(worker.Slots), Draining: worker.Draining, ColdRemaining: time.Duration(worker.ColdForMs) * time.Millisecond,
 	}
 }
--- a/internal/directory/workerset.go
+++ b/internal/directory/workerset.go
@@ -11,27 +11,27 @@
 	"github.com/tidwall/btree"
 )
 
-// Listed is a worker that may take work. It is immutable.
-type Listed struct {
+// WorkerRecord is a worker that may take work. It is immutable.
+type WorkerRecord struct {
 	Worker
 	// Lapsed workers are no longer listed and went without notice; they take
 	// work only where no other worker is left.
 	Lapsed bool
-	// Heard is when this process last heard the worker's entry by itself, by its own clock;
+	// LastReceived is when this process last heard the worker's entry by itself, by its own clock;
 	// the entry was written before.
-	Heard time.Time
+	ReceivedAt time.Time
 	// rank orders the workers of a zone, alike in all processes. A worker that starts again
 	// keeps its place.
 	rank uint64
 }
 
-// NewListed returns a listed worker.
-func NewListed(worker Worker, heard time.Time) *Listed {
-	return &Listed{Worker: worker, Heard: heard, rank: xxhash.Sum64String(worker.Instance)}
+// NewWorkerRecord returns a listed worker.
+func NewWorkerRecord(worker Worker, heard time.Time) *WorkerRecord {
+	return &WorkerRecord{Worker: worker, ReceivedAt: heard, rank: xxhash.Sum64String(worker.Instance)}
 }
 
 // orderedByZone orders workers by zone, then by rank.
-func orderedByZone(a, b *Listed) bool {
+func orderedByZone(a, b *WorkerRecord) bool {
 	order := cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.rank, b.rank))
 	return order < 0 || order == 0 && a.ID < b.ID
 }
@@ -40,14 +40,14 @@
 // immutable and share all that did not change with those of the moment before: a change costs
 // what has changed, whatever the number of workers. The nil value is that none was heard of.
 type Workers struct {
-	byID     *btree.BTreeG[*Listed]
+	byID     *btree.BTreeG[*WorkerRecord]
 	services map[string]*serviceWorkers
 }
 
 // serviceWorkers are those of one service.
 type serviceWorkers struct {
 	// ordered are all of them, by zone and rank; zones names their zones.
-	ordered *btree.BTreeG[*Listed]
+	ordered *btree.BTreeG[*WorkerRecord]
 	zones   []string
 	// subset is the last one that was asked for.
 	subset atomic.Pointer[subset]
@@ -55,28 +55,28 @@
 
 type subset struct {
 	perZone int
-	workers []*Listed
+	workers []*WorkerRecord
 }
 
 // Find returns a worker by its ID.
-func (w *Workers) Find(id string) (*Listed, bool) {
+func (w *Workers) Find(id string) (*WorkerRecord, bool) {
 	if w == nil {
 		return nil, false
 	}
-	return w.byID.Get(&Listed{Worker: Worker{ID: id}})
+	return w.byID.Get(&WorkerRecord{Worker: Worker{ID: id}})
 }
 
-// Of returns all workers of a service.
-func (w *Workers) Of(service string) iter.Seq[*Listed] {
-	return func(yield func(*Listed) bool) {
+// InService returns all workers of a service.
+func (w *Workers) InService(service string) iter.Seq[*WorkerRecord] {
+	return func(yield func(*WorkerRecord) bool) {
 		if of := w.of(service); of != nil {
 			of.ordered.Scan(yield)
 		}
 	}
 }
 
-// All returns all workers of a service in a list of its own.
-func (w *Workers) All(service string) []*Listed { return slices.Collect(w.Of(service)) }
+// List returns all workers of a service in a list of its own.
+func (w *Workers) List(service string) []*WorkerRecord { return slices.Collect(w.InService(service)) }
 
 // Count returns how many workers a service has.
 func (w *Workers) Count(service string) int {
@@ -89,7 +89,7 @@
 // Subset returns so many workers of each zone of a service at most, those of the lowest rank: the
 // same ones in all processes, and nearly the same ones when workers come and go. The list is
 // shared and must stay as it is.
-func (w *Workers) Subset(service string, perZone int) []*Listed {
+func (w *Workers) Subset(service string, perZone int) []*WorkerRecord {
 	of := w.of(service)
 	if of == nil {
 		return nil
@@ -97,7 +97,7 @@
 	if known := of.subset.Load(); known != nil && known.perZone == perZone {
 		return known.workers
 	}
-	made := &subset{perZone: perZone, workers: make([]*Listed, 0, min(of.ordered.Len(), perZone*len(of.zones)))}
+	made := &subset{perZone: perZone, workers: make([]*WorkerRecord, 0, min(of.ordered.Len(), perZone*len(of.zones)))}
 	for _, zone := range of.zones {
 		made.workers = of.appendZone(made.workers, zone, perZone)
 	}
@@ -106,7 +106,7 @@
 }
 
 // InZone returns so many workers of a zone, of each service, at most.
-func (w *Workers) InZone(zone string, most int) (there []*Listed) {
+func (w *Workers) InZone(zone string, most int) (there []*WorkerRecord) {
 	if w == nil {
 		return nil
 	}
@@ -117,9 +117,9 @@
 }
 
 // appendZone appends so many workers of a zone at most, by rank.
-func (s *serviceWorkers) appendZone(to []*Listed, zone string, most int) []*Listed {
+func (s *serviceWorkers) appendZone(to []*WorkerRecord, zone string, most int) []*WorkerRecord {
 	left := most
-	s.ordered.Ascend(&Listed{Worker: Worker{Zone: zone}}, func(each *Listed) bool {
+	s.ordered.Ascend(&WorkerRecord{Worker: Worker{Zone: zone}}, func(each *WorkerRecord) bool {
 		if each.Zone != zone || left == 0 {
 			return false
 		}
@@ -139,7 +139,7 @@
 
 // workerTrees are the workers that may take work, as they change. Snapshots share their nodes.
 type workerTrees struct {
-	byID     *btree.BTreeG[*Listed]
+	byID     *btree.BTreeG[*WorkerRecord]
 	services map[string]*serviceTree
 	// last is the last snapshot, changed whether there was a change since.
 	last    *Workers
@@ -148,7 +148,7 @@
 
 // serviceTree are those of one service.
 type serviceTree struct {
-	ordered *btree.BTreeG[*Listed]
+	ordered *btree.BTreeG[*WorkerRecord]
 	// zones counts the workers of each zone.
 	zones   map[string]int
 	changed bool
@@ -158,23 +158,23 @@
 // 250 bytes each.
 const treeDegree = 16
 
-func newTree(less func(a, b *Listed) bool) *btree.BTreeG[*Listed] {
+func newTree(less func(a, b *WorkerRecord) bool) *btree.BTreeG[*WorkerRecord] {
 	return btree.NewBTreeGOptions(less, btree.Options{NoLocks: true, Degree: treeDegree})
 }
 
 func newWorkerTrees() *workerTrees {
-	byID := func(a, b *Listed) bool { return a.ID < b.ID }
+	byID := func(a, b *WorkerRecord) bool { return a.ID < b.ID }
 	return &workerTrees{byID: newTree(byID), services: make(map[string]*serviceTree)}
 }
 
 // find returns a worker, or nil.
-func (t *workerTrees) find(id string) *Listed {
-	found, _ := t.byID.Get(&Listed{Worker: Worker{ID: id}})
+func (t *workerTrees) find(id string) *WorkerRecord {
+	found, _ := t.byID.Get(&WorkerRecord{Worker: Worker{ID: id}})
 	return found
 }
 
 // put adds a worker in place of the one with its ID.
-func (t *workerTrees) put(worker *Listed) {
+func (t *workerTrees) put(worker *WorkerRecord) {
 	t.remove(worker.ID)
 	of := t.services[worker.Service]
 	if of == nil {
@@ -189,7 +189,7 @@
 
 // remove takes a worker off, if it is there.
 func (t *workerTrees) remove(id string) {
-	worker, found := t.byID.Delete(&Listed{Worker: Worker{ID: id}})
+	worker, found := t.byID.Delete(&WorkerRecord{Worker: Worker{ID: id}})
 	if !found {
 		return
 	}
--- a/internal/directory/workerstate.go
+++ b/internal/directory/workerstate.go
@@ -16,7 +16,7 @@
 
 // listing is the entry of one instance.
 type listing struct {
-	*Listed
+	*WorkerRecord
 	// inList is the last whole list that had it.
 	inList uint64
 }
@@ -26,13 +26,13 @@
 	until time.Time
 }
 
-// OfferWorkers takes a whole list if its revision is later than what is known. unusable are
+// ReplaceWorkers takes a whole list if its revision is later than what is known. unusable are
 // the instances whose entries name no worker to use.
-func (s *State) OfferWorkers(workers []Worker, revision int64, unusable ...Unusable) {
+func (s *State) ReplaceWorkers(workers []Worker, revision int64, unusable ...UnusableEntry) {
 	s.offerWorkers(slices.Values(workers), revision, unusable)
 }
 
-func (s *State) offerWorkers(workers iter.Seq[Worker], revision int64, unusable []Unusable) {
+func (s *State) offerWorkers(workers iter.Seq[Worker], revision int64, unusable []UnusableEntry) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if revision <= s.workersRevision {
@@ -78,8 +78,8 @@
 	return changes
 }
 
-// ChangeWorkers takes the changes of a watch and the revision they lead to.
-func (s *State) ChangeWorkers(changes []Change, revision int64) {
+// ApplyWorkerChanges takes the changes of a watch and the revision they lead to.
+func (s *State) ApplyWorkerChanges(changes []Change, revision int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if revision <= s.workersRevision {
@@ -93,7 +93,7 @@
 	}
 	// What was not taken is not passed on: it would stand in place of what was.
 	s.noteChanges(revision, taken)
-	s.publishWorkers(s.view.Load().WorkersListed)
+	s.publishWorkers(s.view.Load().WorkersListedAt)
 }
 
 // noteChanges remembers what has led to a revision.
@@ -127,13 +127,13 @@
 func (s *State) list(worker Worker, heard time.Time) *listing {
 	s.drop(worker.Instance)
 	worker.Service, worker.Zone = unique.Make(worker.Service).Value(), unique.Make(worker.Zone).Value()
-	entry := &listing{Listed: NewListed(worker, heard)}
+	entry := &listing{WorkerRecord: NewWorkerRecord(worker, heard)}
 	s.workers[worker.Instance] = entry
 	// It is back, or has started again: then its former life has ended.
 	s.forgetLapsed(worker.Instance)
 	if !worker.Draining {
 		s.touch(worker.ID)
-		s.usable.put(entry.Listed)
+		s.usable.put(entry.WorkerRecord)
 	}
 	return entry
 }
@@ -156,7 +156,7 @@
 	}
 	s.lapsed[worker.Instance] = lapsedWorker{id: worker.ID, until: s.now().Add(lapseGrace)}
 	s.touch(worker.ID)
-	last := NewListed(worker, time.Time{})
+	last := NewWorkerRecord(worker, time.Time{})
 	last.Lapsed = true
 	s.usable.put(last)
 	s.expireAfter(lapseGrace)
@@ -196,7 +196,7 @@
 		s.expireAfter(next)
 	}
 	if dropped {
-		s.publishWorkers(s.view.Load().WorkersListed)
+		s.publishWorkers(s.view.Load().WorkersListedAt)
 	}
 }
 
@@ -210,7 +210,7 @@
 // publishWorkers publishes the workers that may take work.
 func (s *State) publishWorkers(listed time.Time) {
 	next := *s.view.Load()
-	next.Workers, next.WorkersListed = s.usable.snapshot(), listed
+	next.Workers, next.WorkersListedAt = s.usable.snapshot(), listed
 	s.publishUpdate(&next, s.takeUpdate())
 }
 
@@ -220,14 +220,14 @@
 		now := s.usable.find(id)
 		switch {
 		case now == nil && before != nil:
-			update.Out = append(update.Out, id)
+			update.Removed = append(update.Removed, id)
 		case now == nil:
 		case now.Lapsed && (before == nil || !before.Lapsed):
 			update.Lapsed = append(update.Lapsed, id)
 		case !now.Lapsed && (before == nil || before.Lapsed):
-			update.In = append(update.In, id)
+			update.Added = append(update.Added, id)
 		}
 	}
-	s.touched = make(map[string]*Listed)
+	s.touched = make(map[string]*WorkerRecord)
 	return update
 }
--- a/internal/distance/distance_test.go
+++ b/internal/distance/distance_test.go
@@ -14,39 +14,39 @@
 
 var start = time.Unix(1000, 0)
 
-func TestTheOwnZoneComesBeforeTheOwnRegionAndThatBeforeOthers(t *testing.T) {
-	places := NewPlaces("a1", threeRegions)
-	require.True(t, places.SeveralRegions())
+func TestRankOrdersOwnZoneThenOwnRegionThenOtherRegions(t *testing.T) {
+	places := NewTopology("a1", threeRegions)
+	require.True(t, places.MultiRegion())
 	require.Equal(t, OwnZone, places.Class("a1"))
 	require.Equal(t, OwnRegion, places.Class("a2"))
 	require.Equal(t, OtherRegion, places.Class("b1"))
 	require.Equal(t, OtherRegion, places.Class("unnamed"), "a zone without a region is not of the own one")
-	view := NewTimes(places).View()
+	view := NewZoneLatencies(places).View()
 	require.Less(t, view.Rank("a1"), view.Rank("a2"))
 	require.Less(t, view.Rank("a2"), view.Rank("b1"))
 	require.Equal(t, view.Rank("c1"), view.Rank("b1"), "nothing was measured")
 }
 
-func TestWithoutRegionsAllZonesAreOfOne(t *testing.T) {
+func TestSingleRegionTreatsAllZonesAsOwnRegion(t *testing.T) {
 	for _, regions := range []map[string]string{
 		nil,
 		{"a1": "a", "a2": "a"},
 		{"b1": "b", "c1": "c"},
 	} {
-		places := NewPlaces("a1", regions)
-		require.False(t, places.SeveralRegions(), regions)
+		places := NewTopology("a1", regions)
+		require.False(t, places.MultiRegion(), regions)
 		require.Equal(t, OwnZone, places.Class("a1"))
 		require.Equal(t, OwnRegion, places.Class("b1"))
-		times := NewTimes(places)
+		times := NewZoneLatencies(places)
 		times.Observe(start, "b1", time.Second)
-		require.Zero(t, times.View().Extra("b1"), "nothing is measured that nothing depends on")
+		require.Zero(t, times.View().ExtraLatency("b1"), "nothing is measured that nothing depends on")
 	}
 }
 
-func TestExtraIsMeasuredAgainstHome(t *testing.T) {
-	times := NewTimes(NewPlaces("a1", threeRegions))
-	require.Equal(t, unmeasured, times.View().Extra("b1"))
-	require.Zero(t, times.View().Extra("a2"))
+func TestExtraLatencyIsRelativeToOwnZone(t *testing.T) {
+	times := NewZoneLatencies(NewTopology("a1", threeRegions))
+	require.Equal(t, unmeasured, times.View().ExtraLatency("b1"))
+	require.Zero(t, times.View().ExtraLatency("a2"))
 	for _, each := range []struct {
 		zone string
 		took time.Duration
@@ -54,23 +54,23 @@
 		times.Observe(start, each.zone, each.took*time.Millisecond)
 	}
 	view := times.View()
-	require.Zero(t, view.Extra("a1"))
-	require.Equal(t, 2*time.Millisecond, view.Extra("a2"))
-	require.Equal(t, 40*time.Millisecond, view.Extra("b1"))
-	require.Equal(t, 90*time.Millisecond, view.Extra("c2"))
-	require.Equal(t, 40*time.Millisecond, view.Extra("b2"), "as far as the nearest of its class")
+	require.Zero(t, view.ExtraLatency("a1"))
+	require.Equal(t, 2*time.Millisecond, view.ExtraLatency("a2"))
+	require.Equal(t, 40*time.Millisecond, view.ExtraLatency("b1"))
+	require.Equal(t, 90*time.Millisecond, view.ExtraLatency("c2"))
+	require.Equal(t, 40*time.Millisecond, view.ExtraLatency("b2"), "as far as the nearest of its class")
 	require.Less(t, view.Rank("b1"), view.Rank("c2"))
 }
 
-func TestWithoutSamplesOfTheOwnZoneTheRegionIsHome(t *testing.T) {
-	times := NewTimes(NewPlaces("a1", threeRegions))
+func TestBaselineFallsBackToOwnRegion(t *testing.T) {
+	times := NewZoneLatencies(NewTopology("a1", threeRegions))
 	times.Observe(start, "a2", 2*time.Millisecond)
 	times.Observe(start, "b1", 42*time.Millisecond)
-	require.Equal(t, 40*time.Millisecond, times.View().Extra("b1"))
+	require.Equal(t, 40*time.Millisecond, times.View().ExtraLatency("b1"))
 }
 
-func TestAWayThatHasBecomeLongerShows(t *testing.T) {
-	times := NewTimes(NewPlaces("a1", threeRegions))
+func TestLatencyIncreaseShowsAfterTwoWindows(t *testing.T) {
+	times := NewZoneLatencies(NewTopology("a1", threeRegions))
 	times.Observe(start, "a1", time.Millisecond)
 	times.Observe(start, "b1", 21*time.Millisecond)
 	now := start
@@ -79,23 +79,23 @@
 		times.Observe(now, "b1", 61*time.Millisecond)
 	}
 	times.Observe(now.Add(time.Second), "b1", 61*time.Millisecond)
-	require.Equal(t, 60*time.Millisecond, times.View().Extra("b1"))
+	require.Equal(t, 60*time.Millisecond, times.View().ExtraLatency("b1"))
 }
 
-func TestOldTimesAreForgotten(t *testing.T) {
-	times := NewTimes(NewPlaces("a1", threeRegions))
+func TestOldSamplesExpire(t *testing.T) {
+	times := NewZoneLatencies(NewTopology("a1", threeRegions))
 	times.Observe(start, "b1", 500*time.Millisecond)
 	times.Observe(start.Add(memory+time.Second), "a1", time.Millisecond)
-	require.Equal(t, unmeasured, times.View().Extra("b1"))
+	require.Equal(t, unmeasured, times.View().ExtraLatency("b1"))
 }
 
-// TestTheNearerByTimeIsNeverRankedLater holds for any samples that the order of places
+// TestRankIsMonotonicInClassAndLatency holds for any samples that the order of places
 // goes by class first, and within the other regions by measured time.
-func TestTheNearerByTimeIsNeverRankedLater(t *testing.T) {
+func TestRankIsMonotonicInClassAndLatency(t *testing.T) {
 	zones := []string{"a1", "a2", "b1", "b2", "c1", "c2", "unnamed"}
 	rapid.Check(t, func(t *rapid.T) {
-		places := NewPlaces("a1", threeRegions)
-		times := NewTimes(places)
+		places := NewTopology("a1", threeRegions)
+		times := NewZoneLatencies(places)
 		for i := range rapid.IntRange(0, 40).Draw(t, "samples") {
 			zone := rapid.SampledFrom(zones).Draw(t, fmt.Sprint("zone", i))
 			took := time.Duration(rapid.IntRange(1, 200_000).Draw(t, fmt.Sprint("took", i))) * time.Microsecond
@@ -103,12 +103,12 @@
 		}
 		view := times.View()
 		for _, one := range zones {
-			require.GreaterOrEqual(t, view.Extra(one), time.Duration(0))
+			require.GreaterOrEqual(t, view.ExtraLatency(one), time.Duration(0))
 			for _, other := range zones {
 				if places.Class(one) < places.Class(other) {
 					require.Less(t, view.Rank(one), view.Rank(other))
 				}
-				if places.Class(one) == OtherRegion && places.Class(other) == OtherRegion && view.Extra(one) <= view.Extra(other) {
+				if places.Class(one) == OtherRegion && places.Class(other) == OtherRegion && view.ExtraLatency(one) <= view.ExtraLatency(other) {
 					require.LessOrEqual(t, view.Rank(one), view.Rank(other))
 				}
 			}
--- a/internal/distance/places.go
+++ b/internal/distance/places.go
@@ -26,18 +26,18 @@
 // Classes are all classes, the nearest first.
 var Classes = []Class{OwnZone, OwnRegion, OtherRegion}
 
-// Places knows the own zone and the region of each. It is immutable; its zero value knows
+// Topology knows the own zone and the region of each. It is immutable; its zero value knows
 // nothing, and takes all zones for zones of one region.
-type Places struct {
+type Topology struct {
 	zone, region string
 	regions      map[string]string
 }
 
-// NewPlaces returns the places of a process in a zone. regions names the region of each
+// NewTopology returns the places of a process in a zone. regions names the region of each
 // zone; where it does not name the own zone's, or names one only, all zones count as zones
 // of the own region.
-func NewPlaces(zone string, regions map[string]string) Places {
-	places := Places{zone: zone, region: regions[zone]}
+func NewTopology(zone string, regions map[string]string) Topology {
+	places := Topology{zone: zone, region: regions[zone]}
 	for _, region := range regions {
 		if places.region != "" && region != places.region {
 			places.regions = regions
@@ -46,11 +46,11 @@
 	return places
 }
 
-// SeveralRegions reports whether any zone is in another region.
-func (p Places) SeveralRegions() bool { return p.regions != nil }
+// MultiRegion reports whether any zone is in another region.
+func (p Topology) MultiRegion() bool { return p.regions != nil }
 
 // Class returns how far a zone is.
-func (p Places) Class(zone string) Class {
+func (p Topology) Class(zone string) Class {
 	switch {
 	case zone == p.zone:
 		return OwnZone
@@ -61,7 +61,7 @@
 }
 
 // Region returns the region of a zone, or "" where that is not told apart.
-func (p Places) Region(zone string) string { return p.regions[zone] }
+func (p Topology) Region(zone string) string { return p.regions[zone] }
 
-// Zone returns the own zone.
-func (p Places) Zone() string { return p.zone }
+// OwnZone returns the own zone.
+func (p Topology) OwnZone() string { return p.zone }
--- a/internal/distance/times.go
+++ b/internal/distance/times.go
@@ -24,11 +24,11 @@
 	alike = 4 * time.Millisecond
 )
 
-// Times measures the ways to zones from calls and connections that are made anyway. The
+// ZoneLatencies measures the ways to zones from calls and connections that are made anyway. The
 // samples of one Times must be of one kind, so that they compare. It is safe for
 // concurrent use; readers of View never wait.
-type Times struct {
-	places Places
+type ZoneLatencies struct {
+	places Topology
 
 	mutex sync.Mutex
 	zones map[string]*leastTime
@@ -66,16 +66,16 @@
 	l.last = now
 }
 
-// NewTimes returns a record without samples.
-func NewTimes(places Places) *Times {
-	times := &Times{places: places, zones: make(map[string]*leastTime)}
+// NewZoneLatencies returns a record without samples.
+func NewZoneLatencies(places Topology) *ZoneLatencies {
+	times := &ZoneLatencies{places: places, zones: make(map[string]*leastTime)}
 	times.view.Store(&View{places: places})
 	return times
 }
 
 // Observe takes how long a round trip to a zone took.
-func (t *Times) Observe(now time.Time, zone string, took time.Duration) {
-	if took <= 0 || !t.places.SeveralRegions() {
+func (t *ZoneLatencies) Observe(now time.Time, zone string, took time.Duration) {
+	if took <= 0 || !t.places.MultiRegion() {
 		return
 	}
 	t.mutex.Lock()
@@ -93,7 +93,7 @@
 }
 
 // measured makes the view of what is known now. The mutex is held.
-func (t *Times) measured(now time.Time) *View {
+func (t *ZoneLatencies) measured(now time.Time) *View {
 	view := &View{places: t.places, extra: make(map[string]time.Duration, len(t.zones))}
 	home := t.home(now)
 	for zone, known := range t.zones {
@@ -113,7 +113,7 @@
 
 // home returns the round trip at home: the least to a zone of the nearest class that was
 // measured. The mutex is held.
-func (t *Times) home(now time.Time) time.Duration {
+func (t *ZoneLatencies) home(now time.Time) time.Duration {
 	var least [classes]time.Duration
 	for zone, known := range t.zones {
 		class := t.places.Class(zone)
@@ -128,20 +128,20 @@
 }
 
 // View returns what is known now.
-func (t *Times) View() *View { return t.view.Load() }
+func (t *ZoneLatencies) View() *View { return t.view.Load() }
 
 // View is what was known of the ways at one moment. It is immutable.
 type View struct {
-	places Places
+	places Topology
 	extra  map[string]time.Duration
 	// typical is the least extra time of each class's zones, where known is set.
 	typical [classes]time.Duration
 	known   [classes]bool
 }
 
-// Extra returns how much longer a round trip to a zone takes than one at home. A zone that
+// ExtraLatency returns how much longer a round trip to a zone takes than one at home. A zone that
 // was not measured is taken to be as far as the nearest of its class that was.
-func (v *View) Extra(zone string) time.Duration {
+func (v *View) ExtraLatency(zone string) time.Duration {
 	if extra, measured := v.extra[zone]; measured {
 		return extra
 	}
@@ -162,5 +162,5 @@
 	if class != OtherRegion {
 		return int(class)
 	}
-	return int(OtherRegion) + int(v.Extra(zone)/alike)
+	return int(OtherRegion) + int(v.ExtraLatency(zone)/alike)
 }
--- a/internal/eligibility/bench_test.go
+++ b/internal/eligibility/bench_test.go
@@ -14,9 +14,9 @@
 // drained zones; "filter" is the part that asks which workers may get the request.
 func BenchmarkChoice(b *testing.B) {
 	const workers, zones = 11000, 17
-	listed := make([]*directory.Listed, workers)
+	listed := make([]*directory.WorkerRecord, workers)
 	for i := range listed {
-		listed[i] = &directory.Listed{Worker: directory.Worker{ID: fmt.Sprintf("worker-%05d", i), Zone: fmt.Sprintf("zone-%02d", i%zones)}}
+		listed[i] = &directory.WorkerRecord{Worker: directory.Worker{ID: fmt.Sprintf("worker-%05d", i), Zone: fmt.Sprintf("zone-%02d", i%zones)}}
 	}
 	for _, example := range []struct {
 		name     string
@@ -29,8 +29,8 @@
 		{name: "four-drained", followed: true, drained: []string{"zone-03", "zone-07", "zone-11", "zone-16"}},
 	} {
 		state := directory.NewState(time.Now, nil)
-		state.OfferZoneDrains(example.drained, 1)
-		beliefs := eligibility.Beliefs{DrainsFollowed: example.followed, Drains: state.View().Drains}
+		state.ReplaceZoneDrains(example.drained, 1)
+		beliefs := eligibility.Checker{DrainsEnabled: example.followed, Drains: state.View().Drains}
 		b.Run(example.name+"/filter", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
