--- a/internal/gateway/turns.go
+++ b/internal/gateway/turns.go
@@ -31,7 +31,7 @@
 	granted time.Time
 	// lender holds the loan that the turn draws on; nil where a majority has its
 	// reservation.
-	lender *quorum.Holder
+	lender *quorum.LoanHolder
 	// late is the turn's draw that was not answered in time; nil where there is none.
 	late *lateDraw
 	// tight is set where another turn of the program does not fit beside this one
@@ -68,7 +68,7 @@
 		return state.beginOnLoan(ctx, err)
 	}
 	defer r.hold(heldForState)()
-	wait, cancel := context.WithTimeout(ctx, outlook.Wait)
+	wait, cancel := context.WithTimeout(ctx, outlook.WaitLimit)
 	defer cancel()
 	assembled, admitted, confirmed := make(chan error, 1), make(chan error, 1), make(chan error, 1)
 	go func() { assembled <- r.assemble(wait) }()
@@ -96,19 +96,19 @@
 // stateOutlook returns for how long a turn may wait for replicas. It fails at once where
 // that is in vain: no majority has answered for longer than is usual, or none answers
 // this gateway while others may reach them.
-func (r *request) stateOutlook() (quorum.Outlook, error) {
+func (r *request) stateOutlook() (quorum.Availability, error) {
 	outlook := r.outlook()
 	if r.gateway.state.isolated() {
 		return outlook, &Isolated{}
 	}
-	if after, cutOff := r.gateway.cutOffComeBack(); cutOff && !r.gateway.quorum.MajorityInZone(r.program) {
-		return outlook, &ZoneCutOff{Zone: r.gateway.options.Zone, ComeBack: after}
+	if after, cutOff := r.gateway.cutOffComeBack(); cutOff && !r.gateway.quorum.HasLocalMajority(r.program) {
+		return outlook, &ZoneCutOff{Zone: r.gateway.options.Zone, RetryAfter: after}
 	}
-	if outlook.Wait <= 0 {
-		return outlook, &MajorityAway{For: outlook.Away, Why: outlook.Why, ComeBack: outlook.ComeBack}
+	if outlook.WaitLimit <= 0 {
+		return outlook, &MajorityUnavailable{UnavailableFor: outlook.UnavailableFor, MemberAnswers: outlook.MemberAnswers, RetryAfter: outlook.RetryAfter}
 	}
-	outlook.Wait = min(outlook.Wait, r.timeToWait())
-	if outlook.Wait <= 0 {
+	outlook.WaitLimit = min(outlook.WaitLimit, r.timeToWait())
+	if outlook.WaitLimit <= 0 {
 		return outlook, r.checkTime()
 	}
 	return outlook, nil
@@ -119,28 +119,28 @@
 
 // outlook returns what is expected of the majorities that keep the program's budget and
 // the request's turn: the worse of the two.
-func (r *request) outlook() quorum.Outlook {
-	budget := r.gateway.quorum.Outlook(r.program)
+func (r *request) outlook() quorum.Availability {
+	budget := r.gateway.quorum.ProgramAvailability(r.program)
 	scope := r.scope()
-	if !r.route.Stateful || !r.gateway.quorum.KeptApart(scope) {
+	if !r.route.Stateful || !r.gateway.quorum.StoresTurnsSeparately(scope) {
 		return budget
 	}
-	kept := r.gateway.quorum.OutlookOf(scope)
-	if !r.budgeted() || kept.Wait < budget.Wait || kept.Away > budget.Away {
+	kept := r.gateway.quorum.ScopeAvailability(scope)
+	if !r.budgeted() || kept.WaitLimit < budget.WaitLimit || kept.UnavailableFor > budget.UnavailableFor {
 		return kept
 	}
 	return budget
 }
 
 // budgeted reports whether the turn counts against a program's budget.
-func (r *request) budgeted() bool { return r.envelope.Budget >= 0 && r.envelope.Program != "" }
+func (r *request) budgeted() bool { return r.envelope.TokenBudget >= 0 && r.envelope.Program != "" }
 
 // checkKeepable fails where the turn is to be kept and no partition may keep it.
 func (r *request) checkKeepable() error {
 	if !r.route.Stateful {
 		return nil
 	}
-	_, err := r.gateway.quorum.Place(r.scope())
+	_, err := r.gateway.quorum.TurnPartition(r.scope())
 	return err
 }
 
@@ -148,10 +148,10 @@
 // not the one which keeps the program's budget: what ran and cannot be kept is lost.
 func (r *request) confirmKeepers(ctx context.Context) error {
 	scope := r.scope()
-	if !r.route.Stateful || !r.gateway.quorum.KeptApart(scope) {
+	if !r.route.Stateful || !r.gateway.quorum.StoresTurnsSeparately(scope) {
 		return nil
 	}
-	if err := r.gateway.quorum.Confirm(ctx, scope); err != nil {
+	if err := r.gateway.quorum.ConfirmMajority(ctx, scope); err != nil {
 		return r.unavailable(err)
 	}
 	return nil
@@ -159,7 +159,7 @@
 
 // unavailable is the failure of a turn whose replicas did not answer in time.
 func (r *request) unavailable(cause error) error {
-	return &StateUnavailable{Cause: cause, ComeBack: r.outlook().ComeBack}
+	return &StateUnavailable{Cause: cause, RetryAfter: r.outlook().RetryAfter}
 }
 
 // reserve writes the reservation to a majority and checks the program's sum as
@@ -188,10 +188,10 @@
 func (r *request) knownSpent() error {
 	envelope := &r.envelope
 	settled := r.gateway.spent.of(r.program)
-	if r.gateway.disabled(mechanism.SpentMemory) || settled+envelope.MostTokens <= envelope.Budget {
+	if r.gateway.disabled(mechanism.SpentTokenCache) || settled+envelope.MaxTokens <= envelope.TokenBudget {
 		return nil
 	}
-	return &BudgetSpent{Program: envelope.Program, Committed: settled, Budget: envelope.Budget}
+	return &BudgetSpent{Program: envelope.Program, Committed: settled, Budget: envelope.TokenBudget}
 }
 
 // tryToReserve makes one reservation.
@@ -202,10 +202,10 @@
 	}
 	t.reserved = true
 	t.reservation = newReservationID()
-	if t.draw(ctx, quorum.DrawWait) {
+	if t.draw(ctx, quorum.DrawTimeout) {
 		return nil
 	}
-	reservation := &replicav1.Reservation{Id: t.reservation, Program: t.request.program, Most: envelope.MostTokens}
+	reservation := &replicav1.Reservation{Id: t.reservation, Program: t.request.program, Most: envelope.MaxTokens}
 	record := &replicav1.Record{
 		Kind:        &replicav1.Record_Reservation{Reservation: reservation},
 		RetentionMs: t.request.retention().Milliseconds(),
@@ -225,20 +225,20 @@
 	wish.takeFrom(ledger)
 	settled := ledger.Settled()
 	gateway.spent.note(t.request.program, settled)
-	if !ledger.Fits(t.reservation, envelope.MostTokens, envelope.Budget) {
+	if !ledger.Fits(t.reservation, envelope.MaxTokens, envelope.TokenBudget) {
 		wish.withdraw()
-		if loans := ledger.Loans(); len(loans) > 0 && ledger.FitsWithoutLoans(t.reservation, envelope.MostTokens, envelope.Budget) {
+		if loans := ledger.Loans(); len(loans) > 0 && ledger.FitsWithoutLoans(t.reservation, envelope.MaxTokens, envelope.TokenBudget) {
 			return &budgetLent{loans: loans}
 		}
 		return &BudgetSpent{
-			Program: envelope.Program, Committed: ledger.Committed(t.reservation), Budget: envelope.Budget,
-			Unsettled: settled+envelope.MostTokens <= envelope.Budget,
+			Program: envelope.Program, Committed: ledger.Committed(t.reservation), Budget: envelope.TokenBudget,
+			Unsettled: settled+envelope.MaxTokens <= envelope.TokenBudget,
 		}
 	}
 	t.granted = time.Now()
-	t.tight = !ledger.Fits(t.reservation, 2*envelope.MostTokens, envelope.Budget)
-	t.request.note(eventReserved, "reservation", t.reservation, "most", envelope.MostTokens,
-		"committed", ledger.Committed(t.reservation), "budget", envelope.Budget)
+	t.tight = !ledger.Fits(t.reservation, 2*envelope.MaxTokens, envelope.TokenBudget)
+	t.request.note(eventReserved, "reservation", t.reservation, "most", envelope.MaxTokens,
+		"committed", ledger.Committed(t.reservation), "budget", envelope.TokenBudget)
 	wish.grant(ledger)
 	return nil
 }
@@ -246,13 +246,13 @@
 // assemble makes the prompt of a kept line: the inputs and outputs before, and
 // the new input.
 func (r *request) assemble(ctx context.Context) error {
-	if !r.route.Stateful || r.envelope.PreviousTurn == "" {
+	if !r.route.Stateful || r.envelope.PreviousTurnID == "" {
 		return nil
 	}
 	scope := r.scope()
-	chain, err := r.gateway.chains.get(ctx, scope, r.envelope.PreviousTurn)
+	chain, err := r.gateway.chains.get(ctx, scope, r.envelope.PreviousTurnID)
 	var unknown *quorum.UnknownTurn
-	var elsewhere *quorum.KeptElsewhere
+	var elsewhere *quorum.TurnRegionMismatch
 	if errors.As(err, &unknown) || errors.As(err, &elsewhere) {
 		return err
 	}
@@ -261,14 +261,14 @@
 	}
 	if len(chain) > 0 && chain[0].Tenant != r.tenantName() {
 		// Said alike of a turn that does not exist. The turns before it are its tenant's too.
-		return &quorum.UnknownTurn{Turn: r.envelope.PreviousTurn}
+		return &quorum.UnknownTurn{Turn: r.envelope.PreviousTurnID}
 	}
 	for _, before := range chain {
-		if err := r.gateway.quorum.MayGoOn(scope, before); err != nil {
+		if err := r.gateway.quorum.CheckContinuation(scope, before); err != nil {
 			return err
 		}
 	}
-	if len(chain) > 0 && !r.gateway.quorum.SamePlace(quorum.ScopeOf(chain[0]), scope) {
+	if len(chain) > 0 && !r.gateway.quorum.SamePartition(quorum.ScopeOf(chain[0]), scope) {
 		r.adopted = chain
 	}
 	size := len(r.body)
@@ -294,7 +294,7 @@
 		return nil
 	}
 	turn := &replicav1.Turn{
-		Id: r.envelope.RequestID, Previous: r.envelope.PreviousTurn, Program: r.program,
+		Id: r.envelope.RequestID, Previous: r.envelope.PreviousTurnID, Program: r.program,
 		Input: t.input, Output: out.output, Tenant: r.tenantName(), Regions: r.scope().Regions,
 	}
 	retention := r.retention().Milliseconds()
@@ -303,7 +303,7 @@
 		records = append(records, &replicav1.Record{Kind: &replicav1.Record_Turn{Turn: before}, RetentionMs: retention})
 	}
 	scope := r.scope()
-	if t.reserved && t.lender == nil && t.settleIn(out) <= 0 && !r.gateway.quorum.KeptApart(scope) {
+	if t.reserved && t.lender == nil && t.settleIn(out) <= 0 && !r.gateway.quorum.StoresTurnsSeparately(scope) {
 		records = append(records, t.settlement(out))
 		t.reserved = false
 	}
@@ -332,9 +332,9 @@
 		t.lender = nil
 		return
 	}
-	write := client.AppendLater
+	write := client.AppendDeferred
 	if t.tight {
-		write = client.AppendNow
+		write = client.AppendInBackground
 	}
 	if wait == 0 {
 		write(record)
--- a/internal/gateway/turns_test.go
+++ b/internal/gateway/turns_test.go
@@ -12,7 +12,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/quorum"
 )
 
-func TestASettlementWaitsUntilItsDelayIsOver(t *testing.T) {
+func TestSettlementDelay(t *testing.T) {
 	turn := &turnState{request: &request{}}
 	used, unused := &stream{events: 3}, &stream{}
 	require.Zero(t, turn.settleIn(used), "a reservation that was not granted ran nothing")
@@ -23,7 +23,7 @@
 	require.Zero(t, turn.settleIn(used))
 }
 
-func TestARequestWaitsForTheFirstListOfWorkers(t *testing.T) {
+func TestRequestWaitsForFirstWorkers(t *testing.T) {
 	r := requestOf(&Gateway{directory: directory.NewState(time.Now, nil), started: time.Now()})
 	held := make(chan struct{})
 	go func() {
@@ -35,7 +35,7 @@
 		t.Fatal("not held")
 	case <-time.After(20 * time.Millisecond):
 	}
-	r.gateway.directory.OfferWorkers([]directory.Worker{{ID: "w", Instance: "w", Service: "s"}}, 1)
+	r.gateway.directory.ReplaceWorkers([]directory.Worker{{ID: "w", Instance: "w", Service: "s"}}, 1)
 	<-held
 	require.Positive(t, r.held[heldForWorkers])
 	r.awaitWorkers(t.Context())
@@ -46,17 +46,17 @@
 	return &request{gateway: g, received: time.Now(), tried: make(map[string]bool), ran: make(map[string]bool)}
 }
 
-// TestWhatIsNotKnownLongAfterTheStartHoldsNoRequest brings requests to a gateway that has
+// TestRequestDoesNotWaitForWorkersLongAfterStart brings requests to a gateway that has
 // learned of no worker long after its start.
-func TestWhatIsNotKnownLongAfterTheStartHoldsNoRequest(t *testing.T) {
+func TestRequestDoesNotWaitForWorkersLongAfterStart(t *testing.T) {
 	r := requestOf(&Gateway{directory: directory.NewState(time.Now, nil), started: time.Now().Add(-time.Minute)})
 	began := time.Now()
 	r.awaitWorkers(t.Context())
 	require.Less(t, time.Since(began), workersWait/2)
 }
 
-// TestAGatewayThatNoReplicaAnswersRefusesTurnsAtOnce: another gateway may reach them.
-func TestAGatewayThatNoReplicaAnswersRefusesTurnsAtOnce(t *testing.T) {
+// TestIsolatedGatewayRefusesTurnsAtOnce: another gateway may reach them.
+func TestIsolatedGatewayRefusesTurnsAtOnce(t *testing.T) {
 	known := directory.NewState(time.Now, nil)
 	g := &Gateway{
 		directory: known, quorum: quorum.NewClient(known, "", http.DefaultClient), spent: newSpentTokens(time.Now), fastest: newFastestAnswers(),
@@ -71,7 +71,7 @@
 	require.Less(t, time.Since(began), comeBackAfter)
 }
 
-func TestWhatWasLearnedOfRoutesThatAreGoneIsForgotten(t *testing.T) {
+func TestUndeclaredRoutesAndServicesAreRemoved(t *testing.T) {
 	g := gatewayWithSlotQueues()
 	g.fastest.of(routeOfService{route: "gone"}).Observe(time.Second)
 	kept := g.fastest.of(routeOfService{route: "kept"})
@@ -86,7 +86,7 @@
 	require.NotSame(t, waits.queue, g.slotQueues.of("waits"))
 }
 
-func TestAClientThatLeavesIsNotHeld(t *testing.T) {
+func TestCancelledRequestDoesNotWait(t *testing.T) {
 	r := requestOf(&Gateway{directory: directory.NewState(time.Now, nil), started: time.Now()})
 	left, leave := context.WithCancel(t.Context())
 	leave()
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -69,19 +69,19 @@
 // run probes zones from which nothing was heard, until ctx ends.
 func (w *zoneWatch) run(ctx context.Context) {
 	for pause.For(ctx, zonesLooked) {
-		members := w.gateway.quorum.ZoneMembers()
+		members := w.gateway.quorum.MemberAddressesByZone()
 		names := make([]string, 0, len(members))
 		for name := range members {
 			names = append(names, name)
 		}
 		now := time.Now()
-		w.detector.Keep(now, names)
+		w.detector.SetZones(now, names)
 		for name, addresses := range members {
 			for _, address := range addresses {
-				w.logReturn(name, w.detector.ReplicaAnswered(name, w.gateway.quorum.LastAnswer(address)))
+				w.logReturn(name, w.detector.RecordReplicaAnswer(name, w.gateway.quorum.LastAnswerTime(address)))
 			}
 		}
-		for _, name := range w.detector.Due(now) {
+		for _, name := range w.detector.ZonesToProbe(now) {
 			w.probe(ctx, name, members[name])
 		}
 		w.logCutOff()
@@ -89,7 +89,9 @@
 }
 
 // answered notes that a worker of a zone answered a request.
-func (w *zoneWatch) answered(name string) { w.logReturn(name, w.detector.Answered(name, time.Now())) }
+func (w *zoneWatch) answered(name string) {
+	w.logReturn(name, w.detector.RecordAnswer(name, time.Now()))
+}
 
 // logReturn logs that a zone answers again, if it does.
 func (w *zoneWatch) logReturn(name string, returned bool) {
@@ -116,10 +118,10 @@
 		byReplica, byWorker := w.ask(ctx, name, replicas)
 		switch {
 		case byReplica:
-			w.logReturn(name, w.detector.ReplicaAnswered(name, time.Now()))
+			w.logReturn(name, w.detector.RecordReplicaAnswer(name, time.Now()))
 		case byWorker:
-			w.logReturn(name, w.detector.Refuted(name, time.Now()))
-		case ctx.Err() == nil && w.detector.Unanswered(name, began):
+			w.logReturn(name, w.detector.RecordWorkerAnswer(name, time.Now()))
+		case ctx.Err() == nil && w.detector.RecordMissedProbe(name, began):
 			w.lost(name)
 		}
 	}()
@@ -131,16 +133,16 @@
 func (w *zoneWatch) ask(ctx context.Context, name string, replicas []string) (byReplica, byWorker bool) {
 	call, cancel := context.WithTimeout(ctx, zonehealth.ProbeTimeout)
 	defer cancel()
-	if !w.detector.Suspected(name) {
-		return w.gateway.quorum.Reaches(call, replicas[rand.IntN(len(replicas))]), false
+	if !w.detector.HasMissedProbe(name) {
+		return w.gateway.quorum.IsReachable(call, replicas[rand.IntN(len(replicas))]), false
 	}
 	workers := w.workersIn(name)
 	answers := make(chan answerOfProbe, len(replicas)+len(workers))
 	for _, address := range replicas {
-		go func() { answers <- answerOfProbe{replica: true, reached: w.gateway.quorum.Reaches(call, address)} }()
+		go func() { answers <- answerOfProbe{replica: true, reached: w.gateway.quorum.IsReachable(call, address)} }()
 	}
 	for _, each := range workers {
-		go func() { answers <- answerOfProbe{reached: w.gateway.pool.Reaches(call, each.Address)} }()
+		go func() { answers <- answerOfProbe{reached: w.gateway.pool.IsReachable(call, each.Address)} }()
 	}
 	for range cap(answers) {
 		if answer := <-answers; answer.reached {
@@ -179,18 +181,18 @@
 // judgedLost reports whether a zone is out of reach, and waits for the judgement where the
 // zone is suspected: the next probe takes no longer.
 func (w *zoneWatch) judgedLost(name string) bool {
-	for until := time.Now().Add(zonehealth.ProbeTimeout + 2*zonesLooked); w.detector.Suspected(name) && time.Now().Before(until); {
-		if w.detector.Unreached(name) {
+	for until := time.Now().Add(zonehealth.ProbeTimeout + 2*zonesLooked); w.detector.HasMissedProbe(name) && time.Now().Before(until); {
+		if w.detector.IsUnreachable(name) {
 			return true
 		}
 		time.Sleep(judgementPoll)
 	}
-	return w.detector.Unreached(name)
+	return w.detector.IsUnreachable(name)
 }
 
 // logCutOff logs when the own zone is cut off, and when it is not any more.
 func (w *zoneWatch) logCutOff() {
-	_, cutOff := w.detector.CutOff()
+	_, cutOff := w.detector.CutOffSince()
 	w.mutex.Lock()
 	changed := w.cutOff != cutOff
 	w.cutOff = cutOff
@@ -224,18 +226,18 @@
 // cutOffComeBack returns after what time the entry sends clients to other zones, where this
 // one is cut off.
 func (g *Gateway) cutOffComeBack() (after time.Duration, cutOff bool) {
-	since, cutOff := g.zones.detector.CutOff()
+	since, cutOff := g.zones.detector.CutOffSince()
 	return max(comeBackAfter, entryLag-time.Since(since)), cutOff
 }
 
 // reached leaves out workers of zones that are not reached, as long as others are left.
-func (g *Gateway) reached(workers []*directory.Listed) []*directory.Listed {
-	if g.zones.detector.UnreachedZones() == 0 {
+func (g *Gateway) reached(workers []*directory.WorkerRecord) []*directory.WorkerRecord {
+	if g.zones.detector.UnreachableCount() == 0 {
 		return workers
 	}
-	var left []*directory.Listed
+	var left []*directory.WorkerRecord
 	for _, each := range workers {
-		if !g.zones.detector.Unreached(each.Zone) {
+		if !g.zones.detector.IsUnreachable(each.Zone) {
 			left = append(left, each)
 		}
 	}
@@ -249,7 +251,7 @@
 // the request may go to another worker, or be sent again by its client.
 func (r *request) watchesZone() bool {
 	repeatable := r.route.Kind == route.Safe || r.route.Kind == route.Streaming && r.route.Resumable
-	return repeatable && !r.gateway.disabled(mechanism.LostZones)
+	return repeatable && !r.gateway.disabled(mechanism.UnreachableZones)
 }
 
 // watchZone begins the watch of one attempt. The context ends with ctx, or when the worker's
@@ -305,8 +307,8 @@
 // ZoneCutOff reports a turn that cannot begin because no other zone answers this one.
 type ZoneCutOff struct {
 	Zone string
-	// ComeBack is after what time the entry leads clients to another zone.
-	ComeBack time.Duration
+	// RetryAfter is after what time the entry leads clients to another zone.
+	RetryAfter time.Duration
 }
 
 func (e *ZoneCutOff) Error() string { return fmt.Sprintf("zone %s is cut off from the others", e.Zone) }
@@ -318,13 +320,13 @@
 func (e *ZoneCutOff) Outcome() failure.Outcome { return failure.NotRun }
 
 // Retry says when to come back.
-func (e *ZoneCutOff) Retry() failure.Retry { return failure.Retry{Allowed: true, After: e.ComeBack} }
+func (e *ZoneCutOff) Retry() failure.Retry { return failure.Retry{Allowed: true, After: e.RetryAfter} }
 
 // asLost returns err, or what a broken answer is as an error of an attempt.
 func asLost(err error) error {
-	var lost *worker.Lost
+	var lost *worker.ResponseLost
 	if errors.As(err, &lost) {
 		return err
 	}
-	return &worker.Lost{Cause: err}
+	return &worker.ResponseLost{Cause: err}
 }
--- a/internal/gateway/zones_test.go
+++ b/internal/gateway/zones_test.go
@@ -67,30 +67,30 @@
 	known := directory.NewState(time.Now, nil)
 	dialer := transport.NewDialer(transport.Options{DialTimeout: workerDialTimeout, UserTimeout: time.Second})
 	g := &Gateway{
-		options: Options{Dialect: silentDialect{}, Zone: "a"}, directory: known, balancer: balance.New(time.Now, "a"), subsets: balance.NewSubsetSizes(time.Now),
-		waits: balance.NewWaits(), metrics: newMetrics(telemetry.NewRegistry()), slotQueues: newSlotQueues(),
+		options: Options{HeaderCodec: silentDialect{}, Zone: "a"}, directory: known, balancer: balance.New(time.Now, "a"), subsets: balance.NewSubsetSizes(time.Now),
+		waits: balance.NewServiceLatencies(), metrics: newMetrics(telemetry.NewRegistry()), slotQueues: newSlotQueues(),
 		fastest: newFastestAnswers(), spent: newSpentTokens(time.Now), pool: worker.NewPool(dialer), state: &stateHealth{},
 		quorum: quorum.NewClient(known, "a", transport.NewPeerClient(transport.Options{DialTimeout: 100 * time.Millisecond, UserTimeout: time.Second}, 4)),
 	}
-	g.zones, g.ways = newZoneWatch(g), distance.NewTimes(g.places)
+	g.zones, g.ways = newZoneWatch(g), distance.NewZoneLatencies(g.places)
 	group := &replicav1.Group{Epoch: 1}
 	var workers []directory.Worker
 	for zone, address := range zones {
 		group.Members = append(group.Members, &replicav1.Member{Seat: uint32(len(group.Members)), Node: zone, Address: address, Zone: zone})
 		workers = append(workers, directory.Worker{ID: zone, Instance: zone, Service: "s", Address: address, Zone: zone})
 	}
-	known.OfferGroup(group, "")
-	known.OfferWorkers(workers, 1)
-	known.OfferConfiguration(&route.Configuration{Version: 1})
+	known.ApplyPeerGroup(group, "")
+	known.ReplaceWorkers(workers, 1)
+	known.ApplyConfiguration(&route.Configuration{Version: 1})
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	go g.zones.run(ctx)
 	return g
 }
 
-// TestALostZoneIsLeftAtOnce: attempts at its workers end, and its workers are passed over, as
+// TestLostZoneCancelsItsAttempts: attempts at its workers end, and its workers are passed over, as
 // long as others are left.
-func TestALostZoneIsLeftAtOnce(t *testing.T) {
+func TestLostZoneCancelsItsAttempts(t *testing.T) {
 	g := gatewayAmongZones(t, map[string]string{"a": answeringAddress(t), "b": darkAddress(t), "c": answeringAddress(t)})
 	attempt, release := g.zones.during(t.Context(), "b")
 	defer release()
@@ -105,27 +105,27 @@
 	require.ErrorAs(t, zoneLost(attempt), &lost)
 	require.Equal(t, "b", lost.Zone)
 	require.NoError(t, other.Err())
-	listed := g.directory.View().Workers.All("s")
+	listed := g.directory.View().Workers.List("s")
 	require.Len(t, listed, 3)
 	for _, each := range g.reached(listed) {
 		require.NotEqual(t, "b", each.Zone)
 	}
 	require.Len(t, g.reached(listed), 2)
-	only := []*directory.Listed{{Worker: directory.Worker{ID: "b", Zone: "b"}}}
+	only := []*directory.WorkerRecord{{Worker: directory.Worker{ID: "b", Zone: "b"}}}
 	require.Equal(t, only, g.reached(only), "nothing else is left")
 	require.True(t, g.Ready())
 }
 
-// TestAZoneWhoseReplicasAloneAreAwayKeepsItsWorkers: what speaks for a zone is anybody in it.
-func TestAZoneWhoseReplicasAloneAreAwayKeepsItsWorkers(t *testing.T) {
+// TestZoneWithReachableWorkersIsNotLost: what speaks for a zone is anybody in it.
+func TestZoneWithReachableWorkersIsNotLost(t *testing.T) {
 	g := gatewayAmongZones(t, map[string]string{"a": answeringAddress(t), "b": darkAddress(t), "c": answeringAddress(t)})
-	g.directory.OfferWorkers([]directory.Worker{{ID: "b", Instance: "b", Service: "s", Address: answeringAddress(t), Zone: "b"}}, 2)
-	require.Never(t, func() bool { return g.zones.detector.Unreached("b") }, 2*time.Second, zonePolls)
+	g.directory.ReplaceWorkers([]directory.Worker{{ID: "b", Instance: "b", Service: "s", Address: answeringAddress(t), Zone: "b"}}, 2)
+	require.Never(t, func() bool { return g.zones.detector.IsUnreachable("b") }, 2*time.Second, zonePolls)
 }
 
-// TestAGatewayWhoseZoneIsCutOffIsNotReady: it refuses turns at once, and tells when the entry
+// TestGatewayInCutOffZoneIsNotReady: it refuses turns at once, and tells when the entry
 // has led clients elsewhere.
-func TestAGatewayWhoseZoneIsCutOffIsNotReady(t *testing.T) {
+func TestGatewayInCutOffZoneIsNotReady(t *testing.T) {
 	g := gatewayAmongZones(t, map[string]string{"a": answeringAddress(t), "b": darkAddress(t), "c": darkAddress(t)})
 	require.True(t, g.Ready())
 	require.Eventually(t, func() bool { return !g.Ready() }, zoneJudged, zonePolls)
@@ -136,18 +136,18 @@
 	var refused *ZoneCutOff
 	require.ErrorAs(t, err, &refused)
 	require.Less(t, time.Since(began), comeBackAfter)
-	require.Positive(t, refused.ComeBack)
-	require.LessOrEqual(t, refused.ComeBack, entryLag)
-	require.Len(t, g.reached(g.directory.View().Workers.All("s")), 1, "its own workers")
+	require.Positive(t, refused.RetryAfter)
+	require.LessOrEqual(t, refused.RetryAfter, entryLag)
+	require.Len(t, g.reached(g.directory.View().Workers.List("s")), 1, "its own workers")
 	g.zones.answered("b")
 	require.True(t, g.Ready(), "another zone answers")
 }
 
-// TestAStreamGoesOnElsewhereOnceItsZoneIsLost: the worker counts as ended, so that the request
+// TestStreamMayResumeElsewhereAfterZoneLoss: the worker counts as ended, so that the request
 // may run at another one.
-func TestAStreamGoesOnElsewhereOnceItsZoneIsLost(t *testing.T) {
+func TestStreamMayResumeElsewhereAfterZoneLoss(t *testing.T) {
 	g := &Gateway{options: Options{Zone: "a"}}
-	g.zones, g.ways = newZoneWatch(g), distance.NewTimes(g.places)
+	g.zones, g.ways = newZoneWatch(g), distance.NewZoneLatencies(g.places)
 	r := &request{
 		gateway: g, route: &route.Route{Kind: route.Streaming, Resumable: true, MaxAttempts: 1},
 		tried: make(map[string]bool), ran: map[string]bool{"w": true}, gone: make(map[string]bool),
@@ -156,9 +156,9 @@
 	defer release()
 	g.zones.lost("b")
 	err := r.causeOf(zoned, directory.Worker{ID: "w", Zone: "b"}, errors.New("cancelled"))
-	var lost *worker.Lost
+	var lost *worker.ResponseLost
 	require.ErrorAs(t, err, &lost)
-	require.Equal(t, balance.Abandoned, verdictOfBreak(t.Context(), err))
+	require.Equal(t, balance.Canceled, verdictOfBreak(t.Context(), err))
 	require.True(t, r.gone["w"])
 	require.True(t, r.tried["w"])
 	r.route.Kind, r.route.Resumable = route.Unsafe, false
@@ -167,9 +167,9 @@
 	require.Equal(t, t.Context(), unsafe, "what may not be repeated waits for its answer")
 }
 
-// TestAnAttemptThatSentNothingIsToldSo also where its zone was lost meanwhile, or it was given
+// TestUnsentAttemptStaysNotSent also where its zone was lost meanwhile, or it was given
 // up for silence.
-func TestAnAttemptThatSentNothingIsToldSo(t *testing.T) {
+func TestUnsentAttemptStaysNotSent(t *testing.T) {
 	g := &Gateway{options: Options{Zone: "a"}}
 	g.zones = newZoneWatch(g)
 	r := &request{
@@ -185,12 +185,12 @@
 	silent := &silenceWatch{}
 	silent.expired.Store(true)
 	require.ErrorAs(t, silent.blame(&worker.NotSent{Cause: context.Canceled}), &notSent)
-	var lost *worker.Lost
+	var lost *worker.ResponseLost
 	require.ErrorAs(t, silent.blame(context.Canceled), &lost)
 }
 
-// TestAnAttemptThatEndsWellKeepsItsConnection: the watches of an attempt end after its answer.
-func TestAnAttemptThatEndsWellKeepsItsConnection(t *testing.T) {
+// TestCompletedAttemptKeepsItsConnection: the watches of an attempt end after its answer.
+func TestCompletedAttemptKeepsItsConnection(t *testing.T) {
 	var connections atomic.Int64
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte("id: 1\ndata: x\n\n"))
--- a/internal/journal/change.go
+++ b/internal/journal/change.go
@@ -6,18 +6,18 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/journalv1"
 )
 
-// Change proposes members as the next membership. It may differ from the one
-// in force by one member. The error is *NotLeading or *ChangePending.
-func (r *Replica) Change(members []Member) error {
+// ProposeMembership proposes members as the next membership. It may differ from the one
+// in force by one member. The error is *NotLeader or *MembershipChangePending.
+func (r *Replica) ProposeMembership(members []Member) error {
 	if r.role != Leader {
-		return &NotLeading{Leader: r.leader}
+		return &NotLeader{Leader: r.leader}
 	}
 	if !r.broken.concurrentChanges {
 		if !r.Serving() {
-			return &ChangePending{Index: r.leading.noop}
+			return &MembershipChangePending{Index: r.leading.noop}
 		}
 		if r.current().index > r.commit {
-			return &ChangePending{Index: r.current().index}
+			return &MembershipChangePending{Index: r.current().index}
 		}
 	}
 	index := r.log.last() + 1
@@ -42,9 +42,9 @@
 	return admitted
 }
 
-// SetWanted gives the voters that the group shall have. A leading replica
+// SetDesiredVoters gives the voters that the group shall have. A leading replica
 // moves toward them, one change at a time; nil leaves the group as it is.
-func (r *Replica) SetWanted(wanted []Member) {
+func (r *Replica) SetDesiredVoters(wanted []Member) {
 	r.wanted = wanted
 	if r.role == Leader {
 		r.reconcile()
@@ -67,7 +67,7 @@
 // learnerBehind reports whether a reachable learner has still to catch up.
 func (r *Replica) learnerBehind() bool {
 	for _, member := range r.current().members {
-		if member.Learner && !r.suspected[member.ID().Life()] && r.isWanted(member.ID()) {
+		if member.Learner && !r.suspected[member.ID().WithoutAdmission()] && r.isWanted(member.ID()) {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 		return
 	}
 	if members, ok := r.nextChange(); ok {
-		_ = r.Change(members)
+		_ = r.ProposeMembership(members)
 		return
 	}
 	if to := r.transferForReconcile(); to != (MemberID{}) {
@@ -133,7 +133,7 @@
 
 func (r *Replica) admitWanted() ([]Member, bool) {
 	for _, member := range r.wanted {
-		if _, known := r.current().findLife(member.ID()); !known && !r.suspected[member.ID().Life()] {
+		if _, known := r.current().findLife(member.ID()); !known && !r.suspected[member.ID().WithoutAdmission()] {
 			member.Learner, member.Admission = true, 0
 			return r.current().with(member), true
 		}
@@ -144,7 +144,7 @@
 // promote makes the learner a voter, after an unwanted voter that is out of
 // reach has left.
 func (r *Replica) promote(learner Member) ([]Member, bool) {
-	unreachable := func(id MemberID) bool { return !r.isWanted(id) && r.suspected[id.Life()] }
+	unreachable := func(id MemberID) bool { return !r.isWanted(id) && r.suspected[id.WithoutAdmission()] }
 	if members, ok := r.remove(unreachable); ok {
 		return members, true
 	}
@@ -178,12 +178,12 @@
 
 func (r *Replica) caughtUp(id MemberID) bool {
 	peer, known := r.leading.peers[id]
-	return known && !r.suspected[id.Life()] && peer.snapshot == 0 && peer.match >= r.commit
+	return known && !r.suspected[id.WithoutAdmission()] && peer.snapshot == 0 && peer.match >= r.commit
 }
 
 // majorityTrusted reports whether a majority of the voters is not suspected.
 func (r *Replica) majorityTrusted(members []Member) bool {
-	return membership{members: members}.reached(func(id MemberID) bool { return !r.suspected[id.Life()] })
+	return membership{members: members}.reached(func(id MemberID) bool { return !r.suspected[id.WithoutAdmission()] })
 }
 
 // wantedVote reports whether all wanted members are voters.
@@ -216,9 +216,9 @@
 	return MemberID{}
 }
 
-// AskMembership asks the other members whether a committed membership still
+// ProbeMembership asks the other members whether a committed membership still
 // names this replica. One that is not named learns it from the answers.
-func (r *Replica) AskMembership() {
+func (r *Replica) ProbeMembership() {
 	if r.role == Leader {
 		return
 	}
@@ -235,11 +235,11 @@
 func (r *Replica) unwanted(id MemberID) bool { return len(r.wanted) > 0 && !r.isWanted(id) }
 
 // Leaving reports whether the group is to go on without this replica, as far
-// as it was told by SetWanted or by its leader's last answer to a probe.
+// as it was told by SetDesiredVoters or by its leader's last answer to a probe.
 func (r *Replica) Leaving() bool { return r.unwanted(r.config.Self) || r.toldLeaving }
 
-// Voter reports whether the replica is a voter of the membership in force.
-func (r *Replica) Voter() bool { return !r.removed && r.current().isVoter(r.config.Self) }
+// IsVoter reports whether the replica is a voter of the membership in force.
+func (r *Replica) IsVoter() bool { return !r.removed && r.current().isVoter(r.config.Self) }
 
 // MajorityReachable reports whether a majority of voters is not suspected.
 func (r *Replica) MajorityReachable() bool { return r.majorityTrusted(r.Members()) }
--- a/internal/journal/check_test.go
+++ b/internal/journal/check_test.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestBreakagesAreCaught shows that the checker notices each rule that is
+// TestInjectedFaultsAreDetected shows that the checker notices each rule that is
 // switched off.
-func TestBreakagesAreCaught(t *testing.T) {
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	breakages := []struct {
 		name   string
 		faults faults
@@ -140,7 +140,7 @@
 	first.replica.EnsureLeader()
 	first.work()
 	s.exchange()
-	_ = first.replica.Change(first.replica.current().without(second.id))
+	_ = first.replica.ProposeMembership(first.replica.current().without(second.id))
 	for range 2 * s.config(first.id).QuorumTicks {
 		first.replica.Tick()
 		first.work()
--- a/internal/journal/cluster_test.go
+++ b/internal/journal/cluster_test.go
@@ -53,7 +53,7 @@
 	machine   []string
 	position  uint64
 	paused    bool
-	stored    Restored
+	stored    InitialState
 	image     []string
 	unwritten []Ready
 	tombstone *journalv1.State
@@ -79,7 +79,7 @@
 		m := &simulated{sim: s, id: MemberID{Node: name, Incarnation: 1}}
 		s.members[name] = m
 		if i < genesis {
-			m.stored = Genesis(first)
+			m.stored = BootstrapState(first)
 			m.begin()
 		}
 	}
@@ -111,16 +111,16 @@
 func (m *simulated) work() {
 	for m.replica != nil && m.replica.HasReady() {
 		ready := m.replica.Ready()
-		m.transmit(ready.Early)
+		m.transmit(ready.ImmediateMessages)
 		m.unwritten = append(m.unwritten, ready)
 		if ready.Snapshot != nil {
 			m.restore(ready.Snapshot)
 		}
-		for _, entry := range ready.Committed {
+		for _, entry := range ready.CommittedEntries {
 			m.apply(entry)
 		}
-		m.finishReads(ready.Confirmed)
-		if ready.SnapshotWanted {
+		m.finishReads(ready.ConfirmedRound)
+		if ready.SnapshotNeeded {
 			m.offer()
 		}
 		if ready.Removed {
@@ -186,7 +186,7 @@
 func (m *simulated) leave() {
 	m.tombstone = m.replica.Tombstone()
 	m.replica, m.machine, m.image, m.unwritten = nil, nil, nil, nil
-	m.stored = Restored{State: m.tombstone}
+	m.stored = InitialState{State: m.tombstone}
 }
 
 // observe tells the oracle who leads and who serves.
@@ -194,7 +194,7 @@
 	if m.replica == nil {
 		return
 	}
-	role, term, _, _, _ := m.replica.Position()
+	role, term, _, _, _ := m.replica.BasicStatus()
 	if role == Leader {
 		m.sim.oracle.leads(m.replica.Self(), term)
 	}
@@ -212,7 +212,7 @@
 	write := m.unwritten[0]
 	m.unwritten = m.unwritten[1:]
 	m.write(write)
-	m.transmit(write.Messages)
+	m.transmit(write.MessagesAfterStore)
 	if count := len(write.Entries); count > 0 && m.replica != nil {
 		last := write.Entries[count-1]
 		m.replica.Persisted(last.Index, last.Term)
@@ -247,9 +247,9 @@
 func (m *simulated) forget() {
 	if !m.sim.faults.reuseIncarnation {
 		m.id.Incarnation++
-		m.stored = Restored{}
+		m.stored = InitialState{}
 	} else {
-		m.stored = Restored{Membership: m.stored.Membership}
+		m.stored = InitialState{Membership: m.stored.Membership}
 	}
 	m.replica, m.machine, m.image, m.tombstone, m.unwritten = nil, nil, nil, nil, nil
 	m.position, m.paused = 0, false
@@ -262,12 +262,12 @@
 // receive hands a message to the replica, which is made where a group sends
 // to this very incarnation.
 func (m *simulated) receive(f flying) {
-	if f.to.Life() != m.id {
+	if f.to.WithoutAdmission() != m.id {
 		return
 	}
 	if m.admits(f) {
 		m.tombstone, m.image = nil, nil
-		m.stored = Restored{State: &journalv1.State{Admission: f.to.Admission}}
+		m.stored = InitialState{State: &journalv1.State{Admission: f.to.Admission}}
 		m.begin()
 	}
 	if m.replica == nil {
@@ -280,7 +280,7 @@
 // admits reports whether a message is for an identity that the node has not
 // had yet.
 func (m *simulated) admits(f flying) bool {
-	if !Admits(f.message.Type) {
+	if !MayCreateReplica(f.message.Type) {
 		return false
 	}
 	if m.replica != nil {
--- a/internal/journal/election.go
+++ b/internal/journal/election.go
@@ -15,20 +15,20 @@
 	patience int
 }
 
-// Search is what a replica has done to find a leader since it last had one, for logs.
-type Search struct {
+// LeaderSearch is what a replica has done to find a leader since it last had one, for logs.
+type LeaderSearch struct {
 	// Rounds counts the rounds in which it asked for votes.
 	Rounds int
 	// Granted, Refused and Silent are what the other voters answered in its last round.
-	Granted, Refused, Silent []MemberID
+	Granted, Refused, Unanswered []MemberID
 }
 
-// Search returns how the search for a leader goes; it is empty where a leader is known.
-func (r *Replica) Search() Search {
+// LeaderSearch returns how the search for a leader goes; it is empty where a leader is known.
+func (r *Replica) LeaderSearch() LeaderSearch {
 	if r.leader != (MemberID{}) || r.role == Leader {
-		return Search{}
+		return LeaderSearch{}
 	}
-	search := Search{Rounds: r.search.rounds}
+	search := LeaderSearch{Rounds: r.search.rounds}
 	for _, member := range r.current().members {
 		id := member.ID()
 		switch {
@@ -38,7 +38,7 @@
 		case r.search.refused[id]:
 			search.Refused = append(search.Refused, id)
 		default:
-			search.Silent = append(search.Silent, id)
+			search.Unanswered = append(search.Unanswered, id)
 		}
 	}
 	return search
@@ -66,7 +66,7 @@
 	if r.role != Follower || r.removed || r.election.patience > 0 {
 		return
 	}
-	if r.leader == (MemberID{}) || r.suspected[r.leader.Life()] {
+	if r.leader == (MemberID{}) || r.suspected[r.leader.WithoutAdmission()] {
 		r.Campaign()
 		return
 	}
@@ -78,7 +78,7 @@
 	if r.role == Leader {
 		return true
 	}
-	return r.role == Follower && r.leader != (MemberID{}) && !r.doubt.probing && !r.suspected[r.leader.Life()]
+	return r.role == Follower && r.leader != (MemberID{}) && !r.doubt.probing && !r.suspected[r.leader.WithoutAdmission()]
 }
 
 func (r *Replica) probeLeader(campaign bool) {
@@ -202,7 +202,7 @@
 		return
 	}
 	r.doubt.waited++
-	if r.doubt.waited >= r.config.ProbeTicks || r.suspected[r.leader.Life()] {
+	if r.doubt.waited >= r.config.ProbeTicks || r.suspected[r.leader.WithoutAdmission()] {
 		r.leaderLost()
 		return
 	}
@@ -272,7 +272,7 @@
 	if r.role == Leader {
 		return false
 	}
-	if r.leader == (MemberID{}) || r.leader == candidate || r.suspected[r.leader.Life()] {
+	if r.leader == (MemberID{}) || r.leader == candidate || r.suspected[r.leader.WithoutAdmission()] {
 		return true
 	}
 	r.probeLeader(false)
--- a/internal/journal/heal_test.go
+++ b/internal/journal/heal_test.go
@@ -76,7 +76,7 @@
 	for i, name := range s.names {
 		if m := s.members[name]; m.replica != nil {
 			s.trustAll(m)
-			m.replica.SetWanted(wanted)
+			m.replica.SetDesiredVoters(wanted)
 			if i == asked%len(s.names) {
 				m.replica.EnsureLeader()
 			}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -35,8 +35,8 @@
 // position orders entries by their term and then their index.
 func position(term, index uint64) uint64 { return term<<indexBits | index }
 
-// Life returns the identity without its admission.
-func (id MemberID) Life() MemberID {
+// WithoutAdmission returns the identity without its admission.
+func (id MemberID) WithoutAdmission() MemberID {
 	id.Admission = 0
 	return id
 }
@@ -133,8 +133,8 @@
 // Snapshot, State and Entries; then send Messages and call Persisted; restore
 // Snapshot; apply Committed and call Applied.
 type Ready struct {
-	// Early messages do not depend on anything being stored.
-	Early []Envelope
+	// ImmediateMessages messages do not depend on anything being stored.
+	ImmediateMessages []Envelope
 	// Snapshot replaces the whole log and state, or is nil.
 	Snapshot *Snapshot
 	// State is to be stored, or is nil.
@@ -142,23 +142,23 @@
 	// Entries are to be stored; they replace stored entries from the same
 	// index on.
 	Entries []*journalv1.Entry
-	// Messages may be sent only when all of the above is stored.
-	Messages []Envelope
-	// Committed entries are to be applied.
-	Committed []*journalv1.Entry
-	// Confirmed is the highest confirmation round that a majority answered.
-	Confirmed uint64
-	// SnapshotWanted asks for OfferSnapshot of the state after Applied.
-	SnapshotWanted bool
+	// MessagesAfterStore may be sent only when all of the above is stored.
+	MessagesAfterStore []Envelope
+	// CommittedEntries entries are to be applied.
+	CommittedEntries []*journalv1.Entry
+	// ConfirmedRound is the highest confirmation round that a majority answered.
+	ConfirmedRound uint64
+	// SnapshotNeeded asks for OfferSnapshot of the state after Applied.
+	SnapshotNeeded bool
 	// Removed says that a committed membership no longer names the replica.
 	Removed bool
 }
 
 // Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
-	return len(r.Early) == 0 && r.Snapshot == nil && r.State == nil &&
-		len(r.Entries) == 0 && len(r.Messages) == 0 && len(r.Committed) == 0 &&
-		r.Confirmed == 0 && !r.SnapshotWanted && !r.Removed
+	return len(r.ImmediateMessages) == 0 && r.Snapshot == nil && r.State == nil &&
+		len(r.Entries) == 0 && len(r.MessagesAfterStore) == 0 && len(r.CommittedEntries) == 0 &&
+		r.ConfirmedRound == 0 && !r.SnapshotNeeded && !r.Removed
 }
 
 // breakage switches single rules of the protocol off. Tests set it to show
--- a/internal/journal/leader.go
+++ b/internal/journal/leader.go
@@ -98,13 +98,13 @@
 }
 
 // Propose appends data entries and returns the index of the first and their
-// term. The error is *NotLeading, or *Full when too much is uncommitted.
+// term. The error is *NotLeader, or *Full when too much is uncommitted.
 func (r *Replica) Propose(data [][]byte) (first, term uint64, err error) {
 	if r.role != Leader || r.leading.transferIn > 0 {
-		return 0, 0, &NotLeading{Leader: r.leader}
+		return 0, 0, &NotLeader{Leader: r.leader}
 	}
 	if r.leading.uncommittedBytes > r.config.MaxUncommittedBytes {
-		return 0, 0, &Full{Bytes: r.leading.uncommittedBytes}
+		return 0, 0, &UncommittedLimitReached{Bytes: r.leading.uncommittedBytes}
 	}
 	first = r.log.last() + 1
 	for _, item := range data {
--- a/internal/journal/members_test.go
+++ b/internal/journal/members_test.go
@@ -87,7 +87,7 @@
 	wanted := s.threeWithout(s.choose(len(s.names)))
 	for _, name := range s.names {
 		if m := s.members[name]; m.replica != nil && !m.paused {
-			m.replica.SetWanted(wanted)
+			m.replica.SetDesiredVoters(wanted)
 			m.work()
 		}
 	}
@@ -120,14 +120,14 @@
 	member, known := current.findLife(other.id)
 	switch {
 	case !known:
-		_ = m.replica.Change(current.with(Member{Node: other.id.Node, Incarnation: other.id.Incarnation, Learner: true}))
+		_ = m.replica.ProposeMembership(current.with(Member{Node: other.id.Node, Incarnation: other.id.Incarnation, Learner: true}))
 	case member.Learner && m.replica.role == Leader && m.replica.caughtUp(member.ID()):
 		member.Learner = false
-		_ = m.replica.Change(current.with(member))
+		_ = m.replica.ProposeMembership(current.with(member))
 	case current.voterCount() > 1 && other != m:
 		left := membership{members: current.without(member.ID())}
 		if left.reached(s.remembers) {
-			_ = m.replica.Change(left.members)
+			_ = m.replica.ProposeMembership(left.members)
 		}
 	}
 }
--- a/internal/journal/membership.go
+++ b/internal/journal/membership.go
@@ -54,7 +54,7 @@
 
 // findLife returns the member of a daemon's life under whatever admission.
 func (m membership) findLife(id MemberID) (Member, bool) {
-	at := slices.IndexFunc(m.members, func(member Member) bool { return member.ID().Life() == id.Life() })
+	at := slices.IndexFunc(m.members, func(member Member) bool { return member.ID().WithoutAdmission() == id.WithoutAdmission() })
 	if at < 0 {
 		return Member{}, false
 	}
--- a/internal/journal/read.go
+++ b/internal/journal/read.go
@@ -16,7 +16,7 @@
 // moment after the call, and all that was committed before it is applied here.
 func (r *Replica) ConfirmLeadership() (uint64, error) {
 	if !r.Serving() {
-		return 0, &NotLeading{Leader: r.leader}
+		return 0, &NotLeader{Leader: r.leader}
 	}
 	rounds := &r.leading.rounds
 	r.round++
@@ -63,7 +63,7 @@
 	for round := rounds.asked; round > rounds.confirmed; round-- {
 		if r.roundAnswered(round) {
 			rounds.confirmed = round
-			r.ready.Confirmed = round
+			r.ready.ConfirmedRound = round
 			return
 		}
 	}
--- a/internal/journal/replica.go
+++ b/internal/journal/replica.go
@@ -43,8 +43,8 @@
 	ready        Ready
 }
 
-// Restored is what a member found in its store, or the genesis of its group.
-type Restored struct {
+// InitialState is what a member found in its store, or the genesis of its group.
+type InitialState struct {
 	State      *journalv1.State
 	Index      uint64
 	Term       uint64
@@ -52,14 +52,14 @@
 	Entries    []*journalv1.Entry
 }
 
-// Genesis returns the beginning of a shard whose first members are given.
-func Genesis(members []Member) Restored {
-	return Restored{Membership: &journalv1.Membership{Members: encodeMembers(members)}}
+// BootstrapState returns the beginning of a shard whose first members are given.
+func BootstrapState(members []Member) InitialState {
+	return InitialState{Membership: &journalv1.Membership{Members: encodeMembers(members)}}
 }
 
 // New returns a replica that goes on from what was stored. The state machine
 // must stand at restored.Index.
-func New(config Config, restored Restored) *Replica {
+func New(config Config, restored InitialState) *Replica {
 	state := restored.State
 	if state == nil {
 		state = &journalv1.State{}
@@ -96,7 +96,7 @@
 		r.handed = r.log.last()
 	}
 	if r.applied < r.commit {
-		ready.Committed = r.log.between(r.applied, r.commit, maxInt)
+		ready.CommittedEntries = r.log.between(r.applied, r.commit, maxInt)
 		r.applied = r.commit
 	}
 	return ready
@@ -167,8 +167,8 @@
 	return r.applied, term, r.membershipAt(r.applied).encode()
 }
 
-// Position returns role, term, leader and the commit index.
-func (r *Replica) Position() (role Role, term uint64, leader MemberID, commit, applied uint64) {
+// BasicStatus returns role, term, leader and the commit index.
+func (r *Replica) BasicStatus() (role Role, term uint64, leader MemberID, commit, applied uint64) {
 	return r.role, r.term, r.leader, r.commit, r.applied
 }
 
@@ -235,11 +235,11 @@
 }
 
 func (r *Replica) sendStored(to MemberID, message *journalv1.Message) {
-	r.ready.Messages = append(r.ready.Messages, r.envelope(to, message))
+	r.ready.MessagesAfterStore = append(r.ready.MessagesAfterStore, r.envelope(to, message))
 }
 
 func (r *Replica) sendEarly(to MemberID, message *journalv1.Message) {
-	r.ready.Early = append(r.ready.Early, r.envelope(to, message))
+	r.ready.ImmediateMessages = append(r.ready.ImmediateMessages, r.envelope(to, message))
 }
 
 func (r *Replica) envelope(to MemberID, message *journalv1.Message) Envelope {
--- a/internal/journal/schedule_test.go
+++ b/internal/journal/schedule_test.go
@@ -203,7 +203,7 @@
 		m.replica.SetSuspected(s.members[name].id, false)
 	}
 	for _, member := range m.replica.Members() {
-		m.replica.SetSuspected(member.ID(), s.members[member.Node].id != member.ID().Life())
+		m.replica.SetSuspected(member.ID(), s.members[member.Node].id != member.ID().WithoutAdmission())
 	}
 }
 
--- a/internal/journal/search_test.go
+++ b/internal/journal/search_test.go
@@ -10,14 +10,14 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// TestASearchForALeaderTellsWhoAnsweredWhat has one voter grant, one refuse and one be silent.
-func TestASearchForALeaderTellsWhoAnsweredWhat(t *testing.T) {
+// TestLeaderSearchGroupsVotersByAnswer has one voter grant, one refuse and one be silent.
+func TestLeaderSearchGroupsVotersByAnswer(t *testing.T) {
 	var members []Member
 	for _, node := range []string{"a", "b", "c", "d", "e"} {
 		members = append(members, Member{Node: structs.NodeID(node), Incarnation: 1})
 	}
 	self := members[0].ID()
-	replica := New(DefaultConfig(1, self, rand.New(rand.NewPCG(1, 1))), Genesis(members))
+	replica := New(DefaultConfig(1, self, rand.New(rand.NewPCG(1, 1))), BootstrapState(members))
 	replica.Campaign()
 	answer := func(from Member, reject bool) {
 		term := uint64(1)
@@ -31,12 +31,12 @@
 	}
 	answer(members[1], false)
 	answer(members[2], true)
-	search := replica.Search()
+	search := replica.LeaderSearch()
 	require.Equal(t, 1, search.Rounds)
 	require.Equal(t, []MemberID{members[1].ID()}, search.Granted)
 	require.Equal(t, []MemberID{members[2].ID()}, search.Refused)
-	require.Equal(t, []MemberID{members[3].ID(), members[4].ID()}, search.Silent)
+	require.Equal(t, []MemberID{members[3].ID(), members[4].ID()}, search.Unanswered)
 	answer(members[3], false)
 	require.Equal(t, Candidate, replica.role)
-	require.Equal(t, 2, replica.Search().Rounds, "a round of votes follows")
+	require.Equal(t, 2, replica.LeaderSearch().Rounds, "a round of votes follows")
 }
--- a/internal/journal/snapshot.go
+++ b/internal/journal/snapshot.go
@@ -28,11 +28,11 @@
 	peer.snapshot = snapshotPending
 	if !r.leading.offerPending {
 		r.leading.offerPending = true
-		r.ready.SnapshotWanted = true
+		r.ready.SnapshotNeeded = true
 	}
 }
 
-// OfferSnapshot gives the snapshot that Ready.SnapshotWanted asked for. Its
+// OfferSnapshot gives the snapshot that Ready.SnapshotNeeded asked for. Its
 // data must not be empty and must not change afterwards.
 func (r *Replica) OfferSnapshot(snapshot Snapshot) {
 	if r.role != Leader {
--- a/internal/journal/step.go
+++ b/internal/journal/step.go
@@ -59,10 +59,10 @@
 	return false
 }
 
-// Admits reports whether a message of this kind may begin an empty replica at
+// MayCreateReplica reports whether a message of this kind may begin an empty replica at
 // a daemon that was not a member under the identity the message is for: that
 // identity holds no vote and no entry, and has forgotten none.
-func Admits(kind journalv1.MessageType) bool {
+func MayCreateReplica(kind journalv1.MessageType) bool {
 	switch kind {
 	case journalv1.MessageType_MESSAGE_TYPE_APPEND, journalv1.MessageType_MESSAGE_TYPE_SNAPSHOT,
 		journalv1.MessageType_MESSAGE_TYPE_VOTE, journalv1.MessageType_MESSAGE_TYPE_PRE_VOTE:
--- a/internal/journal/tick.go
+++ b/internal/journal/tick.go
@@ -12,9 +12,9 @@
 	}
 }
 
-// Active reports whether something is outstanding, so that time matters. An
+// NeedsTicks reports whether something is outstanding, so that time matters. An
 // idle replica is not active.
-func (r *Replica) Active() bool {
+func (r *Replica) NeedsTicks() bool {
 	switch r.role {
 	case Leader:
 		return r.leaderActive()
@@ -30,7 +30,7 @@
 		return true
 	}
 	for id, peer := range r.leading.peers {
-		if !r.suspected[id.Life()] && r.outstanding(peer) {
+		if !r.suspected[id.WithoutAdmission()] && r.outstanding(peer) {
 			return true
 		}
 	}
@@ -52,7 +52,7 @@
 	r.tickTransfer()
 	for _, id := range r.peerIDs() {
 		peer := r.leading.peers[id]
-		if r.suspected[id.Life()] || !r.outstanding(peer) {
+		if r.suspected[id.WithoutAdmission()] || !r.outstanding(peer) {
 			peer.waited = 0
 			continue
 		}
@@ -125,7 +125,7 @@
 		return
 	}
 	for id, left := range r.leading.departing {
-		if left == 0 || r.suspected[id.Life()] {
+		if left == 0 || r.suspected[id.WithoutAdmission()] {
 			delete(r.leading.departing, id)
 			continue
 		}
@@ -138,13 +138,13 @@
 // or of a life that may become one.
 func (r *Replica) SetSuspected(id MemberID, suspected bool) {
 	if !suspected {
-		delete(r.suspected, id.Life())
+		delete(r.suspected, id.WithoutAdmission())
 	} else {
-		r.suspected[id.Life()] = true
+		r.suspected[id.WithoutAdmission()] = true
 	}
 	for peerID, peer := range r.leading.peers {
 		switch {
-		case peerID.Life() != id.Life():
+		case peerID.WithoutAdmission() != id.WithoutAdmission():
 		case suspected:
 			r.abandonSnapshot(peer)
 		default:
--- a/internal/journal/transfer.go
+++ b/internal/journal/transfer.go
@@ -22,7 +22,7 @@
 func (r *Replica) TransferTarget() (MemberID, bool) {
 	best, found := MemberID{}, false
 	for _, id := range r.peerIDs() {
-		if r.suspected[id.Life()] || !r.current().isVoter(id) {
+		if r.suspected[id.WithoutAdmission()] || !r.current().isVoter(id) {
 			continue
 		}
 		if !found || r.leading.peers[id].match > r.leading.peers[best].match {
--- a/internal/limit/admitter.go
+++ b/internal/limit/admitter.go
@@ -13,32 +13,32 @@
 
 // Config configures an Admitter.
 type Config struct {
-	// Target is the delay until the first part of an answer that admitted calls
+	// TargetFirstTokenLatency is the delay until the first part of an answer that admitted calls
 	// should meet.
-	Target time.Duration
-	// Initial, Smallest and Largest bound the calls under way at once; 0 means
+	TargetFirstTokenLatency time.Duration
+	// InitialLimit, Smallest and Largest bound the calls under way at once; 0 means
 	// the defaults.
-	Initial  int
-	Smallest int
-	Largest  int
+	InitialLimit int
+	MinLimit     int
+	MaxLimit     int
 	// Seed makes the spread of waits repeatable.
 	Seed uint64
 }
 
 // Defaults of Config.
 const (
-	DefaultTarget   = 800 * time.Millisecond
-	DefaultInitial  = 32
-	DefaultSmallest = 2
-	DefaultLargest  = 4096
+	DefaultTargetFirstTokenLatency = 800 * time.Millisecond
+	DefaultInitialLimit            = 32
+	DefaultMinLimit                = 2
+	DefaultMaxLimit                = 4096
 )
 
 // Class says how much an admitted request asks for.
 type Class int
 
 const (
-	// ClassOpening begins a new program, which will ask for many calls.
-	ClassOpening Class = iota
+	// ClassProgramStart begins a new program, which will ask for many calls.
+	ClassProgramStart Class = iota
 	// ClassCall is a call of a program under way, whose earlier calls would be
 	// wasted by a refusal.
 	ClassCall
@@ -62,11 +62,11 @@
 
 // The outcomes.
 const (
-	Finished Outcome = iota
-	// Refused for want of room behind this daemon.
-	Refused
-	// Abandoned by the caller, or failed for reasons that tell nothing of load.
-	Abandoned
+	OutcomeCompleted Outcome = iota
+	// OutcomeOverloaded for want of room behind this daemon.
+	OutcomeOverloaded
+	// OutcomeIgnored by the caller, or failed for reasons that tell nothing of load.
+	OutcomeIgnored
 )
 
 // Admitter bounds the calls under way by the delay that they meet. It queues
@@ -108,17 +108,17 @@
 
 // NewAdmitter returns an admitter with nothing under way.
 func NewAdmitter(now time.Time, config Config) *Admitter {
-	config.Target = cmp.Or(config.Target, DefaultTarget)
-	config.Initial = cmp.Or(config.Initial, DefaultInitial)
-	config.Smallest = cmp.Or(config.Smallest, DefaultSmallest)
-	config.Largest = cmp.Or(config.Largest, DefaultLargest)
+	config.TargetFirstTokenLatency = cmp.Or(config.TargetFirstTokenLatency, DefaultTargetFirstTokenLatency)
+	config.InitialLimit = cmp.Or(config.InitialLimit, DefaultInitialLimit)
+	config.MinLimit = cmp.Or(config.MinLimit, DefaultMinLimit)
+	config.MaxLimit = cmp.Or(config.MaxLimit, DefaultMaxLimit)
 	a := &Admitter{
 		config:    config,
 		windowEnd: now.Add(windowLength),
-		adaptive:  adaptive{limit: float64(config.Initial), threshold: float64(config.Largest)},
+		adaptive:  adaptive{limit: float64(config.InitialLimit), threshold: float64(config.MaxLimit)},
 		random:    rand.New(rand.NewPCG(config.Seed, 1)),
 	}
-	a.limit.Store(int64(config.Initial))
+	a.limit.Store(int64(config.InitialLimit))
 	a.ends.Store(a.windowEnd.UnixNano())
 	return a
 }
@@ -126,8 +126,8 @@
 // Limit returns how many calls may be under way now.
 func (a *Admitter) Limit() int { return int(a.limit.Load()) }
 
-// UnderWay returns how many admitted requests have not ended.
-func (a *Admitter) UnderWay() int { return int(a.inFlight.Load()) }
+// InFlight returns how many admitted requests have not ended.
+func (a *Admitter) InFlight() int { return int(a.inFlight.Load()) }
 
 // Admit lets a request in, or refuses it with a *failure.Overloaded. The caller
 // must give the ticket back by Done.
@@ -157,7 +157,7 @@
 // under way were refused and have not come back yet. Otherwise more programs
 // would be begun than can be finished, and the work on them wasted.
 func (a *Admitter) callsComeBack(now time.Time, request Request) bool {
-	return request.Class == ClassOpening && now.UnixNano() < a.callsBack.Load()
+	return request.Class == ClassProgramStart && now.UnixNano() < a.callsBack.Load()
 }
 
 // tooLate tells whether an answer cannot come before the request's deadline.
--- a/internal/limit/exchange.go
+++ b/internal/limit/exchange.go
@@ -14,7 +14,7 @@
 // Tick returns the reports that are due. Within the daemon's budget of reports
 // the most urgent go first, so that the bytes sent do not grow with the number
 // of tenants; the others wait for the next call.
-func (s *Shares) Tick(now time.Time) []Outgoing {
+func (s *RateLimiter) Tick(now time.Time) []Outgoing {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.reports.Refill(now, reportsPerSecond, reportBurst)
@@ -51,7 +51,7 @@
 
 // mostUrgent lists the tenants whose homes are to be told, the most urgent
 // first. Tenants that were idle for long leave the list of active ones.
-func (s *Shares) mostUrgent(now time.Time) []structs.TenantID {
+func (s *RateLimiter) mostUrgent(now time.Time) []structs.TenantID {
 	var found []urgency
 	for _, held := range s.active.list() {
 		value, idle := held.due(now)
@@ -72,7 +72,7 @@
 }
 
 // Receive takes a message in and returns the answers.
-func (s *Shares) Receive(now time.Time, message Message) []Outgoing {
+func (s *RateLimiter) Receive(now time.Time, message Message) []Outgoing {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	outbox := newOutbox(s.self)
@@ -87,7 +87,7 @@
 
 // takeReport answers a report, where this daemon is the tenant's home. Another
 // daemon's view may lag; its report then waits for the next one.
-func (s *Shares) takeReport(now time.Time, from Holder, report Report, outbox *outbox) {
+func (s *RateLimiter) takeReport(now time.Time, from Holder, report Report, outbox *outbox) {
 	if _, bounded := s.terms.Load().rates[report.Tenant]; !bounded || s.home(report.Tenant) != s.self.Node {
 		return
 	}
@@ -115,7 +115,7 @@
 }
 
 // send puts a grant into the outbox, or takes it where it is this daemon's own.
-func (s *Shares) send(now time.Time, to Holder, grant Grant, outbox *outbox) {
+func (s *RateLimiter) send(now time.Time, to Holder, grant Grant, outbox *outbox) {
 	if to == s.self {
 		s.takeGrant(now, grant)
 		return
@@ -125,8 +125,8 @@
 }
 
 // takeGrant takes a grant into use. One for a former life of this daemon is void.
-func (s *Shares) takeGrant(now time.Time, grant Grant) {
-	if grant.To != s.self.Incarnation {
+func (s *RateLimiter) takeGrant(now time.Time, grant Grant) {
+	if grant.Incarnation != s.self.Incarnation {
 		return
 	}
 	if held, found := s.byID.Load(grant.Tenant); found {
--- a/internal/limit/home.go
+++ b/internal/limit/home.go
@@ -65,8 +65,8 @@
 	}
 	h.report, h.reported = report.Number, now
 	h.demand = report.Demand
-	h.held, h.heldUntil = report.Held, now.Add(Lifetime)
-	h.number = max(h.number, report.Taken)
+	h.held, h.heldUntil = report.HeldRate, now.Add(ShareLifetime)
+	h.number = max(h.number, report.LastGrant)
 	h.grants = h.grants[:0]
 	return h, true
 }
@@ -81,9 +81,9 @@
 	target := min(h.demand, level) + spare(t.demands(now), level, capacity, h.demand)
 	free := capacity - t.outstanding(now, to)
 	h.number++
-	grant := issued{rate: max(min(target, free), 0), expires: h.reported.Add(Lifetime)}
+	grant := issued{rate: max(min(target, free), 0), expires: h.reported.Add(ShareLifetime)}
 	h.grants = append(h.grants, grant)
-	return Grant{Tenant: tenant, To: to.Incarnation, Report: h.report, Number: h.number, Rate: grant.rate}, true
+	return Grant{Tenant: tenant, Incarnation: to.Incarnation, ReportNumber: h.report, Number: h.number, Rate: grant.rate}, true
 }
 
 // spare returns a holder's part of what no demand needs, up to its headroom.
--- a/internal/limit/message.go
+++ b/internal/limit/message.go
@@ -13,26 +13,26 @@
 	Incarnation structs.Incarnation
 }
 
-// Report tells a tenant's home what one daemon sees of the tenant.
+// ReportNumber tells a tenant's home what one daemon sees of the tenant.
 type Report struct {
 	Tenant structs.TenantID
 	// Number rises with each report of this holder for this tenant.
 	Number uint32
-	// Taken is the number of the last grant taken; 0 for none.
-	Taken uint32
+	// LastGrant is the number of the last grant taken; 0 for none.
+	LastGrant uint32
 	// Demand is the rate of requests that arrive at the daemon.
 	Demand Rate
-	// Held is the share that the daemon keeps to until it takes another grant.
-	Held Rate
+	// HeldRate is the share that the daemon keeps to until it takes another grant.
+	HeldRate Rate
 }
 
 // Grant hands a share of a tenant's rate out.
 type Grant struct {
 	Tenant structs.TenantID
-	// To is the life of the receiver that the grant is for.
-	To structs.Incarnation
-	// Report is the number of the report whose sending the lifetime counts from.
-	Report uint32
+	// Incarnation is the life of the receiver that the grant is for.
+	Incarnation structs.Incarnation
+	// ReportNumber is the number of the report whose sending the lifetime counts from.
+	ReportNumber uint32
 	// Number rises with each grant of this home to this holder.
 	Number uint32
 	Rate   Rate
@@ -52,12 +52,12 @@
 }
 
 const (
-	// Lifetime is how long a share may be used after the report that it answers
+	// ShareLifetime is how long a share may be used after the report that it answers
 	// was sent.
-	Lifetime = time.Minute
+	ShareLifetime = time.Minute
 	// reportInterval is the time between reports of a tenant in use: two may be
 	// lost before a share runs out.
-	reportInterval = Lifetime / 3
+	reportInterval = ShareLifetime / 3
 	// urgentInterval is the least time between reports of one tenant.
 	urgentInterval = 250 * time.Millisecond
 	// reportsPerSecond and reportBurst bound what a daemon sends as reports,
--- a/internal/limit/retry.go
+++ b/internal/limit/retry.go
@@ -29,16 +29,16 @@
 	}
 }
 
-// Succeeded adds a success's part to the budget.
-func (r *RetryBudget) Succeeded(now time.Time) {
+// RecordSuccess adds a success's part to the budget.
+func (r *RetryBudget) RecordSuccess(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.bucket.Tokens += r.ratio
 	r.bucket.Refill(now, r.steady, retryBurst)
 }
 
-// Left reports whether a retry would be allowed, without taking it.
-func (r *RetryBudget) Left(now time.Time) bool {
+// CanRetry reports whether a retry would be allowed, without taking it.
+func (r *RetryBudget) CanRetry(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.bucket.Refill(now, r.steady, retryBurst)
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -109,7 +109,7 @@
 	}
 	surplus := demanded+demandNoise < s.told/headroom && s.granted > s.declared*leastFraction
 	if surplus || since >= reportInterval && demanded > idleDemand {
-		return since.Seconds() / Lifetime.Seconds(), false
+		return since.Seconds() / ShareLifetime.Seconds(), false
 	}
 	return 0, demanded <= idleDemand && !now.Before(s.expires)
 }
@@ -131,11 +131,11 @@
 	s.number++
 	s.sent, s.told, s.short, s.lowered = now, demanded, false, false
 	return Report{
-		Tenant: s.tenant,
-		Number: s.number,
-		Taken:  s.taken,
-		Demand: demanded,
-		Held:   s.granted,
+		Tenant:    s.tenant,
+		Number:    s.number,
+		LastGrant: s.taken,
+		Demand:    demanded,
+		HeldRate:  s.granted,
 	}
 }
 
@@ -144,12 +144,12 @@
 func (s *share) take(now time.Time, grant Grant) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if grant.Report != s.number || grant.Number <= s.taken {
+	if grant.ReportNumber != s.number || grant.Number <= s.taken {
 		return
 	}
 	s.bucket.Refill(now, s.rate(now), s.burst(now))
 	s.lowered = now.Before(s.expires) && grant.Rate < s.granted
 	s.taken = grant.Number
 	s.granted = min(grant.Rate, s.declared)
-	s.expires = s.sent.Add(Lifetime)
+	s.expires = s.sent.Add(ShareLifetime)
 }
--- a/internal/limit/shares.go
+++ b/internal/limit/shares.go
@@ -16,19 +16,19 @@
 type View struct {
 	// Nodes are the daemons held to be alive, this one among them.
 	Nodes []structs.NodeID
-	// Known counts the daemons of the last while, those now thought dead among
+	// KnownNodes counts the daemons of the last while, those now thought dead among
 	// them. A part of the cluster that is cut off hands out only its fraction
 	// of each rate, so that the parts together stay within it.
-	Known int
+	KnownNodes int
 }
 
 // Rates are the declared rates of tenants, in requests a second over all
 // daemons. It is immutable once declared.
 type Rates map[structs.TenantID]Rate
 
-// RatesOf returns the rates that the declarations give. Tenants without a rate
+// DeclaredRates returns the rates that the declarations give. Tenants without a rate
 // are not in it and are not bounded.
-func RatesOf(tenants []structs.Tenant) Rates {
+func DeclaredRates(tenants []structs.Tenant) Rates {
 	rates := make(Rates, len(tenants))
 	for _, tenant := range tenants {
 		if tenant.RequestsPerSecond > 0 {
@@ -44,11 +44,11 @@
 	known int
 }
 
-// Shares keeps tenants' declared rates over all daemons. Each tenant has a home
+// RateLimiter keeps tenants' declared rates over all daemons. Each tenant has a home
 // daemon, by rendezvous hash, which hands shares of the rate out to the daemons
 // that report demand. Admit is safe for concurrent use and takes no lock that
 // tenants share; the other methods are for one goroutine that carries messages.
-type Shares struct {
+type RateLimiter struct {
 	self  Holder
 	seed  uint64
 	terms atomic.Pointer[terms]
@@ -63,33 +63,33 @@
 	reports Bucket
 }
 
-// NewShares returns the shares of one life of a daemon. Before Declare no
+// NewRateLimiter returns the shares of one life of a daemon. Before Declare no
 // tenant is bounded.
-func NewShares(self Holder, now time.Time, seed uint64) *Shares {
-	shares := &Shares{
+func NewRateLimiter(self Holder, now time.Time, seed uint64) *RateLimiter {
+	shares := &RateLimiter{
 		self:    self,
 		seed:    seed,
 		homes:   map[structs.TenantID]*tenantHome{},
 		reports: Bucket{Updated: now, Tokens: reportBurst},
 	}
 	shares.terms.Store(&terms{rates: Rates{}, known: 1})
-	shares.SetView(now, View{Nodes: []structs.NodeID{self.Node}, Known: 1})
+	shares.SetView(now, View{Nodes: []structs.NodeID{self.Node}, KnownNodes: 1})
 	return shares
 }
 
-// Declare takes the rates of the configuration in force into use.
-func (s *Shares) Declare(now time.Time, rates Rates) {
+// SetRates takes the rates of the configuration in force into use.
+func (s *RateLimiter) SetRates(now time.Time, rates Rates) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.setTerms(now, &terms{rates: rates, known: s.terms.Load().known})
 }
 
 // SetView takes a changed membership into use.
-func (s *Shares) SetView(now time.Time, view View) {
+func (s *RateLimiter) SetView(now time.Time, view View) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	view.Known = max(view.Known, len(view.Nodes))
-	if view.Known == s.view.Known && slices.Equal(view.Nodes, s.view.Nodes) {
+	view.KnownNodes = max(view.KnownNodes, len(view.Nodes))
+	if view.KnownNodes == s.view.KnownNodes && slices.Equal(view.Nodes, s.view.Nodes) {
 		return
 	}
 	s.view = view
@@ -102,14 +102,14 @@
 			delete(s.homes, tenant)
 		}
 	}
-	if former := s.terms.Load(); former.known != view.Known {
-		s.setTerms(now, &terms{rates: former.rates, known: view.Known})
+	if former := s.terms.Load(); former.known != view.KnownNodes {
+		s.setTerms(now, &terms{rates: former.rates, known: view.KnownNodes})
 	}
 }
 
 // setTerms changes the shares in use. One that is made meanwhile from the
 // former terms is corrected by the second look of shareOf.
-func (s *Shares) setTerms(now time.Time, changed *terms) {
+func (s *RateLimiter) setTerms(now time.Time, changed *terms) {
 	s.terms.Store(changed)
 	s.byID.Range(func(id, found any) bool {
 		held := found.(*share)
@@ -125,7 +125,7 @@
 }
 
 // shareOf returns the tenant's share, or nil for a tenant that is not bounded.
-func (s *Shares) shareOf(now time.Time, tenant structs.TenantID) *share {
+func (s *RateLimiter) shareOf(now time.Time, tenant structs.TenantID) *share {
 	if found, seen := s.byID.Load(tenant); seen {
 		return found.(*share)
 	}
@@ -151,7 +151,7 @@
 
 // Admit lets a request of the tenant in, or refuses it with a
 // *failure.RateLimited.
-func (s *Shares) Admit(now time.Time, tenant structs.TenantID) error {
+func (s *RateLimiter) Admit(now time.Time, tenant structs.TenantID) error {
 	held := s.shareOf(now, tenant)
 	if held == nil {
 		return nil
@@ -162,7 +162,7 @@
 
 // Rate returns what the daemon may let in for the tenant now; Unlimited for a
 // tenant that declares no rate.
-func (s *Shares) Rate(now time.Time, tenant structs.TenantID) Rate {
+func (s *RateLimiter) Rate(now time.Time, tenant structs.TenantID) Rate {
 	held := s.shareOf(now, tenant)
 	if held == nil {
 		return Unlimited
@@ -173,7 +173,7 @@
 }
 
 // home returns the tenant's home: the node with the highest hash.
-func (s *Shares) home(tenant structs.TenantID) structs.NodeID {
+func (s *RateLimiter) home(tenant structs.TenantID) structs.NodeID {
 	best, bestHash := structs.NodeID(""), uint64(0)
 	tenantHash := xxhash.Sum64String(string(tenant))
 	for i, node := range s.view.Nodes {
@@ -195,8 +195,8 @@
 }
 
 // capacity returns what a home may hand out of the tenant's rate.
-func (s *Shares) capacity(tenant structs.TenantID) Rate {
-	visible := Rate(len(s.view.Nodes)) / Rate(max(s.view.Known, 1))
+func (s *RateLimiter) capacity(tenant structs.TenantID) Rate {
+	visible := Rate(len(s.view.Nodes)) / Rate(max(s.view.KnownNodes, 1))
 	return s.terms.Load().rates[tenant] * (1 - reserveFraction) * visible
 }
 
--- a/internal/limit/shares_benchmark_test.go
+++ b/internal/limit/shares_benchmark_test.go
@@ -23,7 +23,7 @@
 // scaleRun is a whole deployment's shares, and what they sent.
 type scaleRun struct {
 	now     time.Time
-	daemons []*Shares
+	daemons []*RateLimiter
 	index   map[structs.NodeID]int
 	random  *rand.Rand
 	tenants []structs.TenantID
@@ -42,7 +42,7 @@
 		random: rand.New(rand.NewPCG(1, 1)), spread: spread,
 		bytes: make([]int, scaleDaemons), messages: make([]int, scaleDaemons),
 	}
-	view := View{Known: scaleDaemons}
+	view := View{KnownNodes: scaleDaemons}
 	for i := range scaleDaemons {
 		view.Nodes = append(view.Nodes, structs.NodeID(fmt.Sprintf("daemon-%04d", i)))
 		r.index[view.Nodes[i]] = i
@@ -54,9 +54,9 @@
 		rates[r.tenants[i]] = Rate(scaleRequests) / scaleTenants * 4 / 3
 	}
 	for i := range scaleDaemons {
-		daemon := NewShares(Holder{Node: view.Nodes[i], Incarnation: 1}, r.now, uint64(i))
+		daemon := NewRateLimiter(Holder{Node: view.Nodes[i], Incarnation: 1}, r.now, uint64(i))
 		daemon.SetView(r.now, view)
-		daemon.Declare(r.now, rates)
+		daemon.SetRates(r.now, rates)
 		r.daemons = append(r.daemons, daemon)
 	}
 	return r
@@ -97,12 +97,12 @@
 	return r.daemons[r.index[out.To]].Receive(r.now, received)
 }
 
-// BenchmarkSharesAtScale runs 1,500 daemons with 7,700 tenants and 21,000
+// BenchmarkRateLimiterAtScale runs 1,500 daemons with 7,700 tenants and 21,000
 // requests a second. It reports what one daemon sends, before the transport's
 // own framing, the part of the requests admitted, and a daemon's heap without the
 // table of rates, which the daemons share here; tenants ask for three quarters
 // of their rate.
-func BenchmarkSharesAtScale(b *testing.B) {
+func BenchmarkRateLimiterAtScale(b *testing.B) {
 	for _, spread := range []int{1, 3, 10, 100} {
 		b.Run(fmt.Sprintf("daemonsPerTenant=%d", spread), func(b *testing.B) {
 			before := heapBytes()
@@ -140,8 +140,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkAdmitShare is the cost on the path of a request.
-func BenchmarkAdmitShare(b *testing.B) {
+// BenchmarkRateLimiterAdmit is the cost on the path of a request.
+func BenchmarkRateLimiterAdmit(b *testing.B) {
 	f := newFleet(1, 1e9)
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
--- a/internal/limit/shares_test.go
+++ b/internal/limit/shares_test.go
@@ -20,7 +20,7 @@
 	rate    Rate
 	nodes   []structs.NodeID
 	side    []int // the part of the network that a daemon is in
-	daemons []*Shares
+	daemons []*RateLimiter
 	pending []Outgoing
 	// homes holds when each life of a daemon was last the tenant's home.
 	homes map[Holder]time.Time
@@ -31,7 +31,7 @@
 		now:     time.Unix(1_800_000_000, 0),
 		rate:    rate,
 		side:    make([]int, count),
-		daemons: make([]*Shares, count),
+		daemons: make([]*RateLimiter, count),
 		homes:   map[Holder]time.Time{},
 	}
 	for i := range count {
@@ -44,14 +44,14 @@
 }
 
 func (f *fleet) start(i int, life structs.Incarnation) {
-	f.daemons[i] = NewShares(Holder{Node: f.nodes[i], Incarnation: life}, f.now, uint64(i))
+	f.daemons[i] = NewRateLimiter(Holder{Node: f.nodes[i], Incarnation: life}, f.now, uint64(i))
 	f.see(i)
-	f.daemons[i].Declare(f.now, RatesOf([]structs.Tenant{{Name: tenantA, RequestsPerSecond: float64(f.rate)}}))
+	f.daemons[i].SetRates(f.now, DeclaredRates([]structs.Tenant{{Name: tenantA, RequestsPerSecond: float64(f.rate)}}))
 }
 
 // see gives a daemon the view of its side of the network.
 func (f *fleet) see(i int) {
-	view := View{Known: len(f.nodes)}
+	view := View{KnownNodes: len(f.nodes)}
 	for j, node := range f.nodes {
 		if f.side[j] == f.side[i] {
 			view.Nodes = append(view.Nodes, node)
@@ -117,7 +117,7 @@
 func (f *fleet) bound() Rate {
 	homes := 0
 	for _, last := range f.homes {
-		if f.now.Sub(last) <= Lifetime {
+		if f.now.Sub(last) <= ShareLifetime {
 			homes++
 		}
 	}
@@ -126,7 +126,7 @@
 
 // Whatever is lost, doubled, delayed, reordered or restarted, the shares in use
 // never exceed the declared rate for each home that handed them out.
-func TestSharesStayWithinTheDeclaredRate(t *testing.T) {
+func TestSharesStayWithinDeclaredRatePerOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 6).Draw(t, "daemons"), Rate(rapid.IntRange(1, 200).Draw(t, "rate")))
 		life := structs.Incarnation(1)
@@ -183,7 +183,7 @@
 }
 
 // While one home stays, the sum never exceeds the declared rate at all.
-func TestSharesOfOneHomeNeverExceedTheRate(t *testing.T) {
+func TestSharesOfOneOwnerNeverExceedDeclaredRate(t *testing.T) {
 	f := newFleet(5, 100)
 	random := rand.New(rand.NewPCG(7, 7))
 	most := Rate(0)
@@ -211,7 +211,7 @@
 
 // Parts of the cluster that are cut off from each other have homes of their
 // own, and stay within the declared rate together once former grants ran out.
-func TestPartsThatAreCutOffStayWithinTheRateTogether(t *testing.T) {
+func TestPartitionsTogetherStayWithinDeclaredRate(t *testing.T) {
 	f := newFleet(6, 60)
 	for i := range f.side {
 		f.side[i] = i % 2
@@ -219,7 +219,7 @@
 	for i := range f.side {
 		f.see(i)
 	}
-	f.tick(Lifetime)
+	f.tick(ShareLifetime)
 	for range 600 {
 		for _, daemon := range f.daemons {
 			for range 10 {
@@ -259,7 +259,7 @@
 }
 
 // Over a long overload what gets in is the declared rate, plus one burst a daemon.
-func TestAdmittedOverTimeIsTheDeclaredRate(t *testing.T) {
+func TestAdmissionUnderOverloadMatchesDeclaredRate(t *testing.T) {
 	const rate, seconds, daemons = 50, 120, 4
 	f := newFleet(daemons, rate)
 	admitted := 0
@@ -278,7 +278,7 @@
 	require.Greater(t, admitted, rate*seconds*85/100)
 }
 
-func TestTenantsWithoutARateAreNotBounded(t *testing.T) {
+func TestTenantsWithoutRateAreNotLimited(t *testing.T) {
 	f := newFleet(1, 0)
 	for range 10_000 {
 		require.NoError(t, f.daemons[0].Admit(f.now, tenantA))
@@ -288,7 +288,7 @@
 
 // A grant counts from the sending of the report that it answers: one that comes
 // when its home has given the share to another gives nothing any more.
-func TestGrantThatArrivesAfterItsLifetimeGivesNothing(t *testing.T) {
+func TestGrantAfterShareLifetimeHasNoEffect(t *testing.T) {
 	f := newFleet(2, 100)
 	home := f.index(f.daemons[0].home(tenantA))
 	holder := 1 - home
@@ -299,13 +299,13 @@
 	require.Len(t, late, 1)
 	require.Greater(t, late[0].Message.Grants[0].Rate, Rate(1))
 	before := f.daemons[holder].Rate(f.now, tenantA)
-	f.now = f.now.Add(Lifetime)
+	f.now = f.now.Add(ShareLifetime)
 	f.daemons[holder].Receive(f.now, late[0].Message)
 	require.Equal(t, before, f.daemons[holder].Rate(f.now, tenantA))
 }
 
 // A daemon that restarted takes no grant of its former life.
-func TestGrantOfAFormerLifeGivesNothing(t *testing.T) {
+func TestGrantForPreviousIncarnationHasNoEffect(t *testing.T) {
 	f := newFleet(2, 100)
 	home := f.index(f.daemons[0].home(tenantA))
 	holder := 1 - home
--- a/internal/limit/simulation_test.go
+++ b/internal/limit/simulation_test.go
@@ -129,7 +129,7 @@
 	s.arrivals[s.second()]++
 	class := ClassCall
 	if !p.opened {
-		class = ClassOpening
+		class = ClassProgramStart
 	}
 	var ticket *Ticket
 	if len(s.admitters) > 0 {
@@ -142,15 +142,15 @@
 			return
 		}
 	}
-	if class == ClassOpening {
+	if class == ClassProgramStart {
 		p.opened = true
 		p.deadline = s.now.Add(programDeadline)
-		s.done(ticket, Finished)
+		s.done(ticket, OutcomeCompleted)
 		s.step(p)
 		return
 	}
 	if s.down {
-		s.done(ticket, Refused)
+		s.done(ticket, OutcomeOverloaded)
 		s.after(time.Second, func() { s.step(p) })
 		return
 	}
@@ -171,7 +171,7 @@
 		s.queue = s.queue[1:]
 		s.busy++
 		if call.ticket != nil {
-			call.ticket.FirstPart(s.now)
+			call.ticket.FirstToken(s.now)
 		}
 		s.after(call.service, func() { s.finish(call) })
 	}
@@ -179,7 +179,7 @@
 
 func (s *simulation) finish(call *simulatedCall) {
 	s.busy--
-	s.done(call.ticket, Finished)
+	s.done(call.ticket, OutcomeCompleted)
 	p := call.program
 	p.calls++
 	if p.calls < callsPerProgram {
@@ -211,7 +211,7 @@
 	return s.completedPerSecond(60, 240) / full
 }
 
-func TestWorkDoneDoesNotFallUnderOverload(t *testing.T) {
+func TestGoodputDoesNotFallUnderOverload(t *testing.T) {
 	for _, daemons := range []int{1, 7} {
 		at := map[float64]float64{}
 		for _, load := range []float64{0.9, 1.1, 10} {
@@ -262,7 +262,7 @@
 
 // While the back end is out, refused callers are told times; when it is back
 // they must come spread out, and work must be done again soon.
-func TestNoHerdAfterAnOutage(t *testing.T) {
+func TestNoThunderingHerdAfterOutage(t *testing.T) {
 	for _, daemons := range []int{1, 7} {
 		seen := runOutage(daemons)
 		require.LessOrEqual(t, seen.after, 2*seen.before, "requests in the fullest second")
@@ -287,7 +287,7 @@
 }
 
 // A tenant that asks for ten times the capacity cannot take the other's share.
-func TestOverloadIsSharedByWeight(t *testing.T) {
+func TestTenantKeepsItsShareUnderOverload(t *testing.T) {
 	s := newSimulation(1)
 	s.offer("greedy", 10*fullLoad)
 	s.offer("modest", 0.3*fullLoad)
--- a/internal/limit/ticket.go
+++ b/internal/limit/ticket.go
@@ -16,16 +16,16 @@
 	done     atomic.Bool
 }
 
-// FirstPart tells that the first part of a model's answer came. It is not to be
+// FirstToken tells that the first part of a model's answer came. It is not to be
 // called for tools, whose delay is their own.
-func (t *Ticket) FirstPart(now time.Time) {
+func (t *Ticket) FirstToken(now time.Time) {
 	if t.first.Swap(true) {
 		return
 	}
 	a := t.admitter
 	delay := now.Sub(t.admitted)
 	a.samples.Add(1)
-	if delay > a.config.Target {
+	if delay > a.config.TargetFirstTokenLatency {
 		a.late.Add(1)
 	}
 	a.mutex.Lock()
@@ -42,7 +42,7 @@
 	}
 	a := t.admitter
 	t.tenant.inFlight.Add(-1)
-	if t.class == ClassOpening {
+	if t.class == ClassProgramStart {
 		// The program's first call comes soon: its place is kept until the
 		// window ends, or all who come in a quiet moment would be let in.
 		a.opened.Add(1)
@@ -51,9 +51,9 @@
 	}
 	a.inFlight.Add(-1)
 	switch outcome {
-	case Finished:
+	case OutcomeCompleted:
 		a.done.Add(1)
-	case Refused:
+	case OutcomeOverloaded:
 		a.overloads.Add(1)
 	}
 	a.roll(now)
@@ -92,7 +92,7 @@
 	if a.seen.samples+a.seen.overloads < fewestSamples && a.seen.length < mostWindows {
 		return
 	}
-	a.adaptive = a.adaptive.next(a.seen, float64(a.config.Smallest), float64(a.config.Largest))
+	a.adaptive = a.adaptive.next(a.seen, float64(a.config.MinLimit), float64(a.config.MaxLimit))
 	a.limit.Store(int64(a.adaptive.limit))
 	a.seen = window{}
 }
--- a/internal/limit/wire.go
+++ b/internal/limit/wire.go
@@ -13,24 +13,24 @@
 // wireScale is the number of a rate's units on the wire in one request a second.
 const wireScale = 1000
 
-// Proto returns the message as it travels.
-func (m Message) Proto() *limitv1.Message {
+// ToProto returns the message as it travels.
+func (m Message) ToProto() *limitv1.Message {
 	wire := &limitv1.Message{Node: string(m.From.Node), Incarnation: uint64(m.From.Incarnation)}
 	for _, report := range m.Reports {
 		wire.Reports = append(wire.Reports, &limitv1.Report{
 			Tenant: string(report.Tenant),
 			Number: report.Number,
-			Taken:  report.Taken,
+			Taken:  report.LastGrant,
 			Demand: wireRate(report.Demand, math.Round),
 			// A home must never think less held than is.
-			Held: wireRate(report.Held, math.Ceil),
+			Held: wireRate(report.HeldRate, math.Ceil),
 		})
 	}
 	for _, grant := range m.Grants {
 		wire.Grants = append(wire.Grants, &limitv1.Grant{
 			Tenant:      string(grant.Tenant),
-			Incarnation: uint64(grant.To),
-			Report:      grant.Report,
+			Incarnation: uint64(grant.Incarnation),
+			Report:      grant.ReportNumber,
 			Number:      grant.Number,
 			// A holder must never use more than was granted.
 			Rate: wireRate(grant.Rate, math.Floor),
@@ -39,27 +39,27 @@
 	return wire
 }
 
-// MessageOf returns the message that travelled.
-func MessageOf(wire *limitv1.Message) Message {
+// MessageFromProto returns the message that travelled.
+func MessageFromProto(wire *limitv1.Message) Message {
 	message := Message{
 		From: Holder{Node: structs.NodeID(wire.GetNode()), Incarnation: structs.Incarnation(wire.GetIncarnation())},
 	}
 	for _, report := range wire.GetReports() {
 		message.Reports = append(message.Reports, Report{
-			Tenant: structs.TenantID(report.GetTenant()),
-			Number: report.GetNumber(),
-			Taken:  report.GetTaken(),
-			Demand: Rate(report.GetDemand()) / wireScale,
-			Held:   Rate(report.GetHeld()) / wireScale,
+			Tenant:    structs.TenantID(report.GetTenant()),
+			Number:    report.GetNumber(),
+			LastGrant: report.GetTaken(),
+			Demand:    Rate(report.GetDemand()) / wireScale,
+			HeldRate:  Rate(report.GetHeld()) / wireScale,
 		})
 	}
 	for _, grant := range wire.GetGrants() {
 		message.Grants = append(message.Grants, Grant{
-			Tenant: structs.TenantID(grant.GetTenant()),
-			To:     structs.Incarnation(grant.GetIncarnation()),
-			Report: grant.GetReport(),
-			Number: grant.GetNumber(),
-			Rate:   Rate(grant.GetRate()) / wireScale,
+			Tenant:       structs.TenantID(grant.GetTenant()),
+			Incarnation:  structs.Incarnation(grant.GetIncarnation()),
+			ReportNumber: grant.GetReport(),
+			Number:       grant.GetNumber(),
+			Rate:         Rate(grant.GetRate()) / wireScale,
 		})
 	}
 	return message
@@ -67,7 +67,7 @@
 
 // MarshalBinary encodes the message for another daemon.
 func (m Message) MarshalBinary() ([]byte, error) {
-	return proto.Marshal(m.Proto())
+	return proto.Marshal(m.ToProto())
 }
 
 // UnmarshalBinary decodes a message. The error is a *failure.Malformed.
@@ -76,7 +76,7 @@
 	if err := proto.Unmarshal(data, wire); err != nil {
 		return &failure.Malformed{Field: "limit message", Reason: err.Error()}
 	}
-	*m = MessageOf(wire)
+	*m = MessageFromProto(wire)
 	return nil
 }
 
--- a/internal/limit/wire_test.go
+++ b/internal/limit/wire_test.go
@@ -9,7 +9,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-func TestMessageSurvivesTheWire(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	rate := rapid.Map(rapid.Uint32(), func(milli uint32) Rate { return Rate(milli) / wireScale })
 	name := rapid.StringMatching("[a-z0-9-]{1,12}")
 	rapid.Check(t, func(t *rapid.T) {
@@ -17,12 +17,12 @@
 		for range rapid.IntRange(0, 3).Draw(t, "reports") {
 			sent.Reports = append(sent.Reports, Report{
 				Tenant: structs.TenantID(name.Draw(t, "tenant")), Number: rapid.Uint32().Draw(t, "number"),
-				Taken: rapid.Uint32().Draw(t, "taken"), Demand: rate.Draw(t, "demand"), Held: rate.Draw(t, "held"),
+				LastGrant: rapid.Uint32().Draw(t, "taken"), Demand: rate.Draw(t, "demand"), HeldRate: rate.Draw(t, "held"),
 			})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "grants") {
 			sent.Grants = append(sent.Grants, Grant{
-				Tenant: structs.TenantID(name.Draw(t, "tenant")), To: 2, Report: rapid.Uint32().Draw(t, "report"),
+				Tenant: structs.TenantID(name.Draw(t, "tenant")), Incarnation: 2, ReportNumber: rapid.Uint32().Draw(t, "report"),
 				Number: rapid.Uint32().Draw(t, "number"), Rate: rate.Draw(t, "rate"),
 			})
 		}
@@ -34,8 +34,8 @@
 		require.Len(t, got.Reports, len(sent.Reports))
 		for i, report := range sent.Reports {
 			// Rounding never lets a share seem smaller than it is.
-			require.GreaterOrEqual(t, float64(got.Reports[i].Held), float64(report.Held)-1e-9)
-			require.InDelta(t, float64(report.Held), float64(got.Reports[i].Held), 0.001)
+			require.GreaterOrEqual(t, float64(got.Reports[i].HeldRate), float64(report.HeldRate)-1e-9)
+			require.InDelta(t, float64(report.HeldRate), float64(got.Reports[i].HeldRate), 0.001)
 			require.InDelta(t, float64(report.Demand), float64(got.Reports[i].Demand), 0.001)
 			require.Equal(t, report.Number, got.Reports[i].Number)
 		}
--- a/internal/loan/amount_test.go
+++ b/internal/loan/amount_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestALoanHoldsATurnAndLeavesHalf(t *testing.T) {
+func TestAmount(t *testing.T) {
 	require.Zero(t, Amount(0, 100))
 	require.Zero(t, Amount(10, 19))
 	require.EqualValues(t, 10, Amount(10, 20))
@@ -62,8 +62,8 @@
 	return total
 }
 
-// TestLendingSavesRoundsAndSeldomTakesBack compares ways to lend in the model.
-func TestLendingSavesRoundsAndSeldomTakesBack(t *testing.T) {
+// TestLendingReducesQuorumCallsAndRemoteRecalls compares ways to lend in the model.
+func TestLendingReducesQuorumCallsAndRemoteRecalls(t *testing.T) {
 	none := play(func(int64, int64) int64 { return 0 })
 	chosen := play(Amount)
 	everything := play(func(_, left int64) int64 { return left })
--- a/internal/loan/book.go
+++ b/internal/loan/book.go
@@ -30,8 +30,8 @@
 // them. The majority keeps a loan for that much longer than its program's other records.
 const Lifetime = 15 * time.Second
 
-// Book is the accounts of one seat. It is not safe for concurrent use.
-type Book struct {
+// AccountSet is the accounts of one seat. It is not safe for concurrent use.
+type AccountSet struct {
 	// settleDelay is how long after its opening an account may be closed.
 	settleDelay time.Duration
 	accounts    map[string]*held
@@ -53,13 +53,13 @@
 	returned time.Time
 }
 
-// NewBook returns a book without accounts. settleDelay is turn's delay of settlements.
-func NewBook(settleDelay time.Duration) *Book {
-	return &Book{settleDelay: settleDelay, accounts: make(map[string]*held), programs: make(map[string][]*held)}
+// NewAccountSet returns a book without accounts. settleDelay is turn's delay of settlements.
+func NewAccountSet(settleDelay time.Duration) *AccountSet {
+	return &AccountSet{settleDelay: settleDelay, accounts: make(map[string]*held), programs: make(map[string][]*held)}
 }
 
 // Apply takes an account as it was written and reports whether that is news.
-func (b *Book) Apply(now time.Time, account *replicav1.Account, retention time.Duration) bool {
+func (b *AccountSet) Apply(now time.Time, account *replicav1.Account, retention time.Duration) bool {
 	known := b.accounts[account.Loan]
 	if known == nil {
 		known = &held{known: now}
@@ -72,46 +72,46 @@
 	return true
 }
 
-// Open returns the account to be written for a loan, or nil where it is known already:
+// NewAccount returns the account to be written for a loan, or nil where it is known already:
 // an account is opened once.
-func (b *Book) Open(program string, opening *replicav1.LoanOpening) *replicav1.Account {
+func (b *AccountSet) NewAccount(program string, opening *replicav1.LoanOpening) *replicav1.Account {
 	if b.accounts[opening.Loan] != nil {
 		return nil
 	}
 	return &replicav1.Account{Loan: opening.Loan, Program: program, Amount: opening.Amount, Step: 1}
 }
 
-// Opened notes that this process has opened an account that it has applied.
-func (b *Book) Opened(loan string) { b.accounts[loan].opened = true }
+// MarkOpened notes that this process has opened an account that it has applied.
+func (b *AccountSet) MarkOpened(loan string) { b.accounts[loan].opened = true }
 
-// Drawing is the answer to a draw.
-type Drawing struct {
+// DrawResult is the answer to a draw.
+type DrawResult struct {
 	Outcome replicav1.LoanOutcome
-	// Account is to be written before the answer; nil where nothing changes.
+	// RetainedAccount is to be written before the answer; nil where nothing changes.
 	Account *replicav1.Account
-	// Left is what may still be drawn, in tokens.
-	Left int64
+	// Remaining is what may still be drawn, in tokens.
+	Remaining int64
 }
 
 // Draw hands out tokens of one of the program's open accounts. The same draw once more is
 // granted again and counts once.
-func (b *Book) Draw(now time.Time, program string, draw *replicav1.LoanDraw) Drawing {
-	answer := Drawing{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_NONE}
+func (b *AccountSet) Draw(now time.Time, program string, draw *replicav1.LoanDraw) DrawResult {
+	answer := DrawResult{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_NONE}
 	for _, known := range b.programs[program] {
 		if !known.drawable(now) {
 			continue
 		}
-		left := Left(known.account)
+		left := Remaining(known.account)
 		if drawn(known.account, draw.Id) != nil {
-			return Drawing{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Left: left}
+			return DrawResult{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Remaining: left}
 		}
 		if draw.Most < 0 || draw.Most > left {
-			answer = Drawing{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_EXHAUSTED, Left: max(left, answer.Left)}
+			answer = DrawResult{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_EXHAUSTED, Remaining: max(left, answer.Remaining)}
 			continue
 		}
 		next := after(known.account)
 		next.Draws = append(next.Draws, &replicav1.Entry{Id: draw.Id, Most: draw.Most})
-		return Drawing{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Account: next, Left: left - draw.Most}
+		return DrawResult{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Account: next, Remaining: left - draw.Most}
 	}
 	return answer
 }
@@ -119,7 +119,7 @@
 // Settle returns the account to be written after a draw was settled, and whether there is
 // one that takes the settlement, or has taken it. A closed one takes none: its unsettled
 // draws are the majority's.
-func (b *Book) Settle(settlement *replicav1.Settlement) (account *replicav1.Account, taken bool) {
+func (b *AccountSet) Settle(settlement *replicav1.Settlement) (account *replicav1.Account, taken bool) {
 	for _, known := range b.programs[settlement.Program] {
 		draw := drawn(known.account, settlement.Id)
 		switch {
@@ -139,40 +139,40 @@
 	return nil, false
 }
 
-// Closing is the answer to the wish to close a loan.
-type Closing struct {
+// CloseResult is the answer to the wish to close a loan.
+type CloseResult struct {
 	Outcome replicav1.LoanOutcome
-	// Account is as it was closed. It is to be written before the answer, where New is set.
-	Account *replicav1.Account
-	New     bool
-	// After is when the account may be closed that may not be yet.
-	After time.Duration
+	// RetainedAccount is as it was closed. It is to be written before the answer, where New is set.
+	Account   *replicav1.Account
+	MustWrite bool
+	// RetryAfter is when the account may be closed that may not be yet.
+	RetryAfter time.Duration
 }
 
 // Close ends a loan for good. One that is not known was never opened if present, the
 // life of the data folder, is that which the loan names; then it never will be.
-func (b *Book) Close(now time.Time, program string, closing *replicav1.LoanClosing, present uint64) Closing {
+func (b *AccountSet) Close(now time.Time, program string, closing *replicav1.LoanClosing, present uint64) CloseResult {
 	known := b.accounts[closing.Loan]
 	switch {
 	case known == nil && present != closing.Incarnation:
-		return Closing{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_NONE}
+		return CloseResult{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_NONE}
 	case known == nil:
 		never := &replicav1.Account{Loan: closing.Loan, Program: program, Step: 1, Closed: true}
-		return Closing{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Account: never, New: true}
+		return CloseResult{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Account: never, MustWrite: true}
 	case known.account.Closed:
-		return Closing{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Account: known.account}
+		return CloseResult{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Account: known.account}
 	}
 	if wait := known.known.Add(b.settleDelay).Sub(now); wait > 0 {
-		return Closing{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_NOT_YET, After: wait}
+		return CloseResult{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_NOT_YET, RetryAfter: wait}
 	}
 	next := after(known.account)
 	next.Closed = true
-	return Closing{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Account: next, New: true}
+	return CloseResult{Outcome: replicav1.LoanOutcome_LOAN_OUTCOME_DONE, Account: next, MustWrite: true}
 }
 
-// Lapsed returns the open accounts that can be drawn on no more, or all that are open
+// ExpiredAccounts returns the open accounts that can be drawn on no more, or all that are open
 // where the seat is another's now and nobody asks here.
-func (b *Book) Lapsed(now time.Time, seatLost bool) (lapsed []*replicav1.Account) {
+func (b *AccountSet) ExpiredAccounts(now time.Time, seatLost bool) (lapsed []*replicav1.Account) {
 	for _, known := range b.accounts {
 		if !known.account.Closed && (seatLost || !known.drawable(now)) {
 			lapsed = append(lapsed, known.account)
@@ -181,19 +181,19 @@
 	return lapsed
 }
 
-// Unreturned returns the closed accounts of which this process has not told the majority.
+// UnreturnedAccounts returns the closed accounts of which this process has not told the majority.
 // Whoever closed them may not have done so either.
-func (b *Book) Unreturned() (accounts []Account) {
+func (b *AccountSet) UnreturnedAccounts() (accounts []RetainedAccount) {
 	for _, known := range b.accounts {
 		if known.account.Closed && known.returned.IsZero() {
-			accounts = append(accounts, Account{Account: known.account, Retention: known.retention})
+			accounts = append(accounts, RetainedAccount{Account: known.account, Retention: known.retention})
 		}
 	}
 	return accounts
 }
 
-// Returned notes that the majority has what a closed account gives back.
-func (b *Book) Returned(now time.Time, loan string) {
+// ReturnRecords notes that the majority has what a closed account gives back.
+func (b *AccountSet) MarkReturned(now time.Time, loan string) {
 	if known := b.accounts[loan]; known != nil && known.account.Closed {
 		known.returned = now
 	}
@@ -203,9 +203,9 @@
 // no call about its loan is under way any more.
 const forgetMargin = 5 * time.Second
 
-// Forget drops accounts that the majority has had back for longer than their retention.
+// PruneReturned drops accounts that the majority has had back for longer than their retention.
 // One that is not back is never dropped: closed anew, it would count as unused.
-func (b *Book) Forget(now time.Time) {
+func (b *AccountSet) PruneReturned(now time.Time) {
 	for id, known := range b.accounts {
 		if known.returned.IsZero() || now.Sub(known.returned) < known.retention+forgetMargin {
 			continue
@@ -219,22 +219,22 @@
 	}
 }
 
-// Account is an account with the time for which it is kept.
-type Account struct {
+// RetainedAccount is an account with the time for which it is kept.
+type RetainedAccount struct {
 	*replicav1.Account
 	Retention time.Duration
 }
 
 // Accounts returns all accounts.
-func (b *Book) Accounts() (accounts []Account) {
+func (b *AccountSet) Accounts() (accounts []RetainedAccount) {
 	for _, known := range b.accounts {
-		accounts = append(accounts, Account{Account: known.account, Retention: known.retention})
+		accounts = append(accounts, RetainedAccount{Account: known.account, Retention: known.retention})
 	}
 	return accounts
 }
 
 // Counts returns how many accounts are open and how many are known.
-func (b *Book) Counts() (open, known int) {
+func (b *AccountSet) Counts() (open, known int) {
 	for _, each := range b.accounts {
 		if !each.account.Closed {
 			open++
@@ -260,13 +260,13 @@
 	return sum
 }
 
-// Left returns what may still be drawn of an open account, in tokens.
-func Left(account *replicav1.Account) int64 { return account.Amount - Committed(account) }
+// Remaining returns what may still be drawn of an open account, in tokens.
+func Remaining(account *replicav1.Account) int64 { return account.Amount - Committed(account) }
 
-// Returned returns the records by which a closed account goes back to the majority: its
+// ReturnRecords returns the records by which a closed account goes back to the majority: its
 // unsettled draws become reservations, and the loan is settled at what the others have
 // used. They are to be written in this order, so that the draws never count as nothing.
-func Returned(account *replicav1.Account, retention time.Duration) (records []*replicav1.Record) {
+func ReturnRecords(account *replicav1.Account, retention time.Duration) (records []*replicav1.Record) {
 	var used int64
 	for _, draw := range account.Draws {
 		if draw.Settled {
--- a/internal/loan/book_test.go
+++ b/internal/loan/book_test.go
@@ -25,13 +25,13 @@
 
 // holder is a book with the disk that its accounts are written to.
 type holder struct {
-	*Book
+	*AccountSet
 	life uint64
 	disk map[string]*replicav1.Account
 }
 
 func newHolder() *holder {
-	return &holder{Book: NewBook(settleDelay), life: life, disk: make(map[string]*replicav1.Account)}
+	return &holder{AccountSet: NewAccountSet(settleDelay), life: life, disk: make(map[string]*replicav1.Account)}
 }
 
 func (h *holder) write(now time.Time, account *replicav1.Account) {
@@ -44,9 +44,9 @@
 	if h.life != incarnation {
 		return
 	}
-	if account := h.Open("p", &replicav1.LoanOpening{Loan: loan, Amount: amount, Incarnation: incarnation}); account != nil {
+	if account := h.NewAccount("p", &replicav1.LoanOpening{Loan: loan, Amount: amount, Incarnation: incarnation}); account != nil {
 		h.write(now, account)
-		h.Opened(loan)
+		h.MarkOpened(loan)
 	}
 }
 
@@ -62,23 +62,23 @@
 	return taken
 }
 
-func (h *holder) close(now time.Time, loan string, incarnation uint64) Closing {
+func (h *holder) close(now time.Time, loan string, incarnation uint64) CloseResult {
 	closing := h.Close(now, "p", &replicav1.LoanClosing{Loan: loan, Incarnation: incarnation}, h.life)
-	if closing.New {
+	if closing.MustWrite {
 		h.write(now, closing.Account)
 	}
 	return closing
 }
 
 func (h *holder) restart(now time.Time) {
-	h.Book = NewBook(settleDelay)
+	h.AccountSet = NewAccountSet(settleDelay)
 	for _, account := range h.disk {
 		h.Apply(now, account, retention)
 	}
 }
 
 func (h *holder) wipe() {
-	h.Book, h.disk, h.life = NewBook(settleDelay), make(map[string]*replicav1.Account), h.life+1
+	h.AccountSet, h.disk, h.life = NewAccountSet(settleDelay), make(map[string]*replicav1.Account), h.life+1
 }
 
 const (
@@ -88,7 +88,7 @@
 	notYet    = replicav1.LoanOutcome_LOAN_OUTCOME_NOT_YET
 )
 
-func TestALoanIsDrawnOnUpToItsAmount(t *testing.T) {
+func TestDrawsAreLimitedToLoanAmount(t *testing.T) {
 	h := newHolder()
 	require.Equal(t, none, h.draw(start, "a", 10))
 	h.open(start, "l", 100, life)
@@ -100,7 +100,7 @@
 	require.Equal(t, exhausted, h.draw(start, "c", 1))
 }
 
-func TestAClosedLoanTellsEveryCallerTheSame(t *testing.T) {
+func TestClosedLoanIsTheSameForEveryCaller(t *testing.T) {
 	h := newHolder()
 	h.open(start, "l", 100, life)
 	h.draw(start, "a", 30)
@@ -117,13 +117,13 @@
 	h.open(later, "l", 100, life)
 	require.Equal(t, none, h.draw(later, "c", 1))
 	require.True(t, proto.Equal(first.Account, h.close(later, "l", life).Account))
-	records := Returned(first.Account, retention)
+	records := ReturnRecords(first.Account, retention)
 	require.Len(t, records, 2)
 	require.Equal(t, "b", records[0].GetReservation().Id)
 	require.EqualValues(t, 10, records[1].GetSettlement().Used)
 }
 
-func TestALoanThatIsClosedBeforeItIsOpenedStaysClosed(t *testing.T) {
+func TestLoanClosedBeforeOpeningStaysClosed(t *testing.T) {
 	h := newHolder()
 	require.Equal(t, none, h.close(start, "l", otherLife).Outcome, "another life may have opened it")
 	require.Equal(t, done, h.close(start, "l", life).Outcome)
@@ -131,34 +131,34 @@
 	require.Equal(t, none, h.draw(start, "a", 1))
 }
 
-func TestAnAccountIsDrawnOnForItsLifetimeByTheProcessThatOpenedIt(t *testing.T) {
+func TestOnlyOpeningProcessServesDrawsForLifetime(t *testing.T) {
 	h := newHolder()
 	h.open(start, "l", 100, life)
-	require.Empty(t, h.Lapsed(start.Add(Lifetime-1), false))
-	require.Len(t, h.Lapsed(start, true), 1)
+	require.Empty(t, h.ExpiredAccounts(start.Add(Lifetime-1), false))
+	require.Len(t, h.ExpiredAccounts(start, true), 1)
 	require.Equal(t, done, h.draw(start.Add(Lifetime-1), "a", 1))
 	require.Equal(t, none, h.draw(start.Add(Lifetime), "b", 1))
-	require.Len(t, h.Lapsed(start.Add(Lifetime), false), 1)
+	require.Len(t, h.ExpiredAccounts(start.Add(Lifetime), false), 1)
 	h.restart(start)
 	require.Equal(t, none, h.draw(start, "c", 1))
-	require.Len(t, h.Lapsed(start, false), 1)
+	require.Len(t, h.ExpiredAccounts(start, false), 1)
 	require.Equal(t, notYet, h.close(start, "l", life).Outcome, "it may have been opened just before")
 }
 
-func TestAnAccountIsForgottenOnceTheMajorityHasItBack(t *testing.T) {
+func TestAccountIsPrunedAfterReturn(t *testing.T) {
 	h := newHolder()
 	h.open(start, "l", 100, life)
 	later := start.Add(time.Hour)
-	h.Forget(later)
+	h.PruneReturned(later)
 	require.Len(t, h.Accounts(), 1, "it is open")
 	h.close(later, "l", life)
-	h.Forget(later.Add(time.Hour))
-	require.Len(t, h.Unreturned(), 1, "nobody has told the majority")
-	h.Returned(later, "l")
-	require.Empty(t, h.Unreturned())
-	h.Forget(later.Add(retention))
+	h.PruneReturned(later.Add(time.Hour))
+	require.Len(t, h.UnreturnedAccounts(), 1, "nobody has told the majority")
+	h.MarkReturned(later, "l")
+	require.Empty(t, h.UnreturnedAccounts())
+	h.PruneReturned(later.Add(retention))
 	require.Len(t, h.Accounts(), 1)
-	h.Forget(later.Add(retention + forgetMargin))
+	h.PruneReturned(later.Add(retention + forgetMargin))
 	require.Empty(t, h.Accounts())
 	require.Empty(t, h.programs)
 }
@@ -173,9 +173,9 @@
 	returned []*replicav1.Record
 }
 
-// TestNoMoreIsHandedOutThanWasLent plays calls in any order, doubled and late, with
+// TestDrawsNeverExceedLoanUnderRandomCalls plays calls in any order, doubled and late, with
 // restarts and wiped disks, against a count of what was handed out.
-func TestNoMoreIsHandedOutThanWasLent(t *testing.T) {
+func TestDrawsNeverExceedLoanUnderRandomCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h, now, serial := newHolder(), start, 0
 		var loans []*lent
@@ -231,7 +231,7 @@
 				if closing.Outcome != done {
 					return
 				}
-				records := Returned(closing.Account, retention)
+				records := ReturnRecords(closing.Account, retention)
 				if each.returned != nil {
 					require.Equal(t, fmt.Sprint(each.returned), fmt.Sprint(records), "told differently")
 				}
--- a/internal/membership/accusation.go
+++ b/internal/membership/accusation.go
@@ -183,7 +183,7 @@
 	delete(s.accusations, m.node.ID)
 	if w, watched := s.watches[m.node.ID]; watched && w.accused {
 		w.accused = false
-		w.deadline = s.now.Add(s.timing.Grace)
+		w.deadline = s.now.Add(s.timing.InitialTimeout)
 	}
 }
 
@@ -212,7 +212,7 @@
 		a := s.accusations[id]
 		subject := s.members[id]
 		s.expireWitnesses(subject, a)
-		if s.now.Before(a.confirmed.Add(s.timing.Refutation)) || a.witness(s.options.Self.ID) == nil {
+		if s.now.Before(a.confirmed.Add(s.timing.RefutationTimeout)) || a.witness(s.options.Self.ID) == nil {
 			continue
 		}
 		if s.holdRemoval(subject, a) {
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -26,7 +26,7 @@
 			PeerAddress: fmt.Sprintf("10.0.%d.%d:1", i/256, i%256),
 		}
 		nodes = append(nodes, node)
-		facts = append(facts, membership.FirstFact(node))
+		facts = append(facts, membership.InitialNodeFact(node))
 	}
 	self := nodes[0]
 	self.Incarnation = 1
@@ -50,20 +50,20 @@
 	}
 }
 
-// BenchmarkNewLife measures learning of a daemon's restart, with the watch
+// BenchmarkNewIncarnation measures learning of a daemon's restart, with the watch
 // graph derived anew.
-func BenchmarkNewLife(b *testing.B) {
+func BenchmarkNewIncarnation(b *testing.B) {
 	state, nodes, now := fullSize()
 	node := nodes[17]
 	b.ReportAllocs()
 	for b.Loop() {
 		node.Incarnation++
-		fact := membership.FirstFact(node)
+		fact := membership.InitialNodeFact(node)
 		left := &gossipv1.Fact{Key: fact.Key, Major: fact.Major, Minor: 1<<64 - 1, Value: leftValue(node)}
 		state.Receive(now, &gossipv1.Message{From: "x", Facts: []*gossipv1.Fact{left}})
 		state.Tick(now)
 		node.Incarnation++
-		state.Receive(now, &gossipv1.Message{From: "x", Facts: []*gossipv1.Fact{membership.FirstFact(node)}})
+		state.Receive(now, &gossipv1.Message{From: "x", Facts: []*gossipv1.Fact{membership.InitialNodeFact(node)}})
 		state.Tick(now)
 		state.Drain()
 	}
--- a/internal/membership/document.go
+++ b/internal/membership/document.go
@@ -11,24 +11,24 @@
 // configuration. Daemons bring each other up to date by deltas; a daemon too
 // far behind fetches the whole in chunks. Versions never go backwards.
 type Document interface {
-	// InForce is the version that the daemon acts on and vouches for; 0 is none.
-	InForce() uint64
-	// Held is the version that deltas can be applied to, vouched for or not.
-	Held() uint64
-	// Vouch puts the held version in force if it is the given one: a peer
+	// ActiveVersion is the version that the daemon acts on and vouches for; 0 is none.
+	ActiveVersion() uint64
+	// HeldVersion is the version that deltas can be applied to, vouched for or not.
+	HeldVersion() uint64
+	// Confirm puts the held version in force if it is the given one: a peer
 	// vouches for it.
-	Vouch(version uint64)
+	Confirm(version uint64)
 	// Deltas lead from the version after to the one in force; nil if the log
 	// does not reach back so far.
 	Deltas(after uint64) []*gossipv1.DocumentDelta
 	// Apply applies a delta whose base is the held version and reports whether
 	// a newer version is now in force.
 	Apply(delta *gossipv1.DocumentDelta) bool
-	// Whole returns a version and its encoding; deltas lead on from it.
-	Whole() (version uint64, data []byte)
-	// ApplyWhole replaces the held version by a newer one and reports whether
+	// Snapshot returns a version and its encoding; deltas lead on from it.
+	Snapshot() (version uint64, data []byte)
+	// ApplySnapshot replaces the held version by a newer one and reports whether
 	// a newer version is now in force.
-	ApplyWhole(version uint64, data []byte) bool
+	ApplySnapshot(version uint64, data []byte) bool
 }
 
 const (
@@ -63,7 +63,7 @@
 	if document == nil {
 		return
 	}
-	before := document.InForce()
+	before := document.ActiveVersion()
 	for _, delta := range m.Deltas {
 		s.applyDelta(delta)
 	}
@@ -73,20 +73,20 @@
 	if m.DocumentRequest != nil {
 		s.answerDocumentRequest(from, m.DocumentRequest)
 	}
-	if m.DocumentVersion > 0 && m.DocumentVersion == document.Held() {
-		document.Vouch(m.DocumentVersion)
+	if m.DocumentVersion > 0 && m.DocumentVersion == document.HeldVersion() {
+		document.Confirm(m.DocumentVersion)
 	}
-	if document.InForce() > before {
+	if document.ActiveVersion() > before {
 		s.documentChanged(before, from.node.ID)
 	}
-	if m.DocumentVersion > document.Held() {
+	if m.DocumentVersion > document.HeldVersion() {
 		s.requestDocument(from)
 	}
 }
 
 func (s *State) applyDelta(delta *gossipv1.DocumentDelta) {
 	document := s.options.Document
-	if delta.Base != document.Held() || delta.Version <= delta.Base {
+	if delta.Base != document.HeldVersion() || delta.Version <= delta.Base {
 		return
 	}
 	if document.Apply(delta) {
@@ -101,20 +101,20 @@
 		return
 	}
 	s.fetch = &documentFetch{asked: s.now, from: from.node.ID}
-	request := &gossipv1.DocumentRequest{After: s.options.Document.Held()}
+	request := &gossipv1.DocumentRequest{After: s.options.Document.HeldVersion()}
 	s.send(from.node, &gossipv1.Message{DocumentRequest: request})
 }
 
 func (s *State) answerDocumentRequest(from *member, request *gossipv1.DocumentRequest) {
 	document := s.options.Document
-	if document.InForce() == 0 {
+	if document.ActiveVersion() == 0 {
 		return
 	}
-	answer := &gossipv1.Message{DocumentVersion: document.InForce()}
-	if !request.Whole && request.After < document.InForce() {
+	answer := &gossipv1.Message{DocumentVersion: document.ActiveVersion()}
+	if !request.Whole && request.After < document.ActiveVersion() {
 		answer.Deltas = document.Deltas(request.After)
 	}
-	if len(answer.Deltas) == 0 && request.After < document.InForce() {
+	if len(answer.Deltas) == 0 && request.After < document.ActiveVersion() {
 		answer.DocumentChunk = s.chunk(request)
 	}
 	if len(answer.Deltas) > 0 || answer.DocumentChunk != nil {
@@ -125,7 +125,7 @@
 // chunk cuts the wanted piece. Where the wanted version is gone it starts the
 // present one from its beginning.
 func (s *State) chunk(request *gossipv1.DocumentRequest) *gossipv1.DocumentChunk {
-	version, data := s.options.Document.Whole()
+	version, data := s.options.Document.Snapshot()
 	offset := request.Offset
 	if request.Version != version || offset >= uint64(len(data)) {
 		offset = 0
@@ -135,7 +135,7 @@
 }
 
 func (s *State) receiveChunk(from *member, chunk *gossipv1.DocumentChunk) {
-	if s.fetch == nil || s.fetch.from != from.node.ID || chunk.Version <= s.options.Document.Held() {
+	if s.fetch == nil || s.fetch.from != from.node.ID || chunk.Version <= s.options.Document.HeldVersion() {
 		return
 	}
 	if chunk.Offset == 0 {
@@ -153,7 +153,7 @@
 	}
 	data := s.fetch.data
 	s.fetch = nil
-	s.options.Document.ApplyWhole(chunk.Version, data)
+	s.options.Document.ApplySnapshot(chunk.Version, data)
 }
 
 // DocumentChanged tells that the document advanced by the daemon's own reading
@@ -166,7 +166,7 @@
 // documentChanged pushes the deltas since the version before to the neighbours,
 // except to the one that they came from.
 func (s *State) documentChanged(before uint64, source structs.NodeID) {
-	s.emit(Event{Kind: DocumentInForce, Version: s.options.Document.InForce()})
+	s.emit(Event{Kind: DocumentActivated, Version: s.options.Document.ActiveVersion()})
 	deltas := s.options.Document.Deltas(before)
 	if deltaBytes(deltas) > pushedDeltaBytes {
 		// Each neighbour asks one daemon for it, instead of getting it from all.
@@ -176,6 +176,6 @@
 		if neighbour.node.ID == source {
 			continue
 		}
-		s.send(neighbour.node, &gossipv1.Message{Deltas: deltas, DocumentVersion: s.options.Document.InForce()})
+		s.send(neighbour.node, &gossipv1.Message{Deltas: deltas, DocumentVersion: s.options.Document.ActiveVersion()})
 	}
 }
--- a/internal/membership/estimator.go
+++ b/internal/membership/estimator.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Estimator says until when the next heartbeat of a peer is expected.
-type Estimator interface {
-	// Heartbeat tells that the numbered heartbeat arrived.
-	Heartbeat(now time.Time, number uint64)
-	// Mistake tells that the peer was suspected wrongly.
-	Mistake()
+// TimeoutEstimator says until when the next heartbeat of a peer is expected.
+type TimeoutEstimator interface {
+	// HeartbeatInterval tells that the numbered heartbeat arrived.
+	ObserveHeartbeat(now time.Time, number uint64)
+	// ObserveFalseSuspicion tells that the peer was suspected wrongly.
+	ObserveFalseSuspicion()
 	// Deadline is when the peer is suspected unless a heartbeat arrives before.
 	Deadline() time.Time
 }
 
 // DefaultEstimator returns the estimator that the comparison in
 // docs/design/membership.md supports.
-func DefaultEstimator(period time.Duration) Estimator {
-	return NewFixed(period + period/2)
+func DefaultEstimator(period time.Duration) TimeoutEstimator {
+	return NewFixedTimeout(period + period/2)
 }
 
-// Fixed expects each heartbeat within a constant time after the last one.
-type Fixed struct {
+// FixedTimeout expects each heartbeat within a constant time after the last one.
+type FixedTimeout struct {
 	timeout time.Duration
 	last    time.Time
 }
 
-// NewFixed returns an estimator with a constant timeout.
-func NewFixed(timeout time.Duration) *Fixed { return &Fixed{timeout: timeout} }
+// NewFixedTimeout returns an estimator with a constant timeout.
+func NewFixedTimeout(timeout time.Duration) *FixedTimeout { return &FixedTimeout{timeout: timeout} }
 
-// Heartbeat tells that a heartbeat arrived.
-func (f *Fixed) Heartbeat(now time.Time, _ uint64) { f.last = now }
+// HeartbeatInterval tells that a heartbeat arrived.
+func (f *FixedTimeout) ObserveHeartbeat(now time.Time, _ uint64) { f.last = now }
 
-// Mistake changes nothing: the timeout is constant.
-func (f *Fixed) Mistake() {}
+// ObserveFalseSuspicion changes nothing: the timeout is constant.
+func (f *FixedTimeout) ObserveFalseSuspicion() {}
 
 // Deadline is the last arrival and the timeout.
-func (f *Fixed) Deadline() time.Time { return f.last.Add(f.timeout) }
+func (f *FixedTimeout) Deadline() time.Time { return f.last.Add(f.timeout) }
 
 // windowLength is the number of heartbeats that the arrival of the next one is
 // estimated from.
 const windowLength = 100
 
-// Chen expects the next heartbeat at the mean of the last arrivals, each
+// ChenEstimator expects the next heartbeat at the mean of the last arrivals, each
 // shifted to the next period, and a constant margin (Chen, Toueg, Aguilera, "On
 // the quality of service of failure detectors", IEEE Trans. Computers 51, 2002).
-type Chen struct {
+type ChenEstimator struct {
 	period time.Duration
 	margin time.Duration
 	origin time.Time
@@ -54,12 +54,14 @@
 	sum     time.Duration
 }
 
-// NewChen returns an estimator with a constant margin.
-func NewChen(period, margin time.Duration) *Chen { return &Chen{period: period, margin: margin} }
+// NewChenEstimator returns an estimator with a constant margin.
+func NewChenEstimator(period, margin time.Duration) *ChenEstimator {
+	return &ChenEstimator{period: period, margin: margin}
+}
 
-// Heartbeat takes an arrival. Lost heartbeats before it count as if they had
+// HeartbeatInterval takes an arrival. Lost heartbeats before it count as if they had
 // come at even distances.
-func (c *Chen) Heartbeat(now time.Time, number uint64) {
+func (c *ChenEstimator) ObserveHeartbeat(now time.Time, number uint64) {
 	if c.last == 0 || number < c.last && number == 1 {
 		c.origin, c.shifted, c.sum, c.next = now, nil, 0, 0
 		c.last = number
@@ -75,7 +77,7 @@
 }
 
 // fill stands in for lost heartbeats, evenly between the arrivals around them.
-func (c *Chen) fill(now time.Time, number uint64) {
+func (c *ChenEstimator) fill(now time.Time, number uint64) {
 	missing := number - c.last - 1
 	if missing == 0 || missing > windowLength {
 		return
@@ -88,7 +90,7 @@
 	}
 }
 
-func (c *Chen) add(shifted time.Duration) {
+func (c *ChenEstimator) add(shifted time.Duration) {
 	c.sum += shifted
 	if len(c.shifted) < windowLength {
 		c.shifted = append(c.shifted, shifted)
@@ -100,7 +102,7 @@
 }
 
 // expected is the estimated arrival of the next heartbeat.
-func (c *Chen) expected() time.Time {
+func (c *ChenEstimator) expected() time.Time {
 	if len(c.shifted) == 0 {
 		return c.origin
 	}
@@ -108,8 +110,8 @@
 	return c.origin.Add(mean + time.Duration(c.last+1)*c.period)
 }
 
-// Mistake changes nothing: the margin is constant.
-func (c *Chen) Mistake() {}
+// ObserveFalseSuspicion changes nothing: the margin is constant.
+func (c *ChenEstimator) ObserveFalseSuspicion() {}
 
 // Deadline is the expected arrival and the margin.
-func (c *Chen) Deadline() time.Time { return c.expected().Add(c.margin) }
+func (c *ChenEstimator) Deadline() time.Time { return c.expected().Add(c.margin) }
--- a/internal/membership/found_test.go
+++ b/internal/membership/found_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestADaemonThatAllOthersForgotIsFoundAgain is a schedule that was found (fuzzer's
+// TestDaemonForgottenByAllOthersIsContactedAgain is a schedule that was found (fuzzer's
 // seed 12170634744110596169): three of four daemons crash one after another while
 // their zones are cut off, and start again without their memory.
-func TestADaemonThatAllOthersForgotIsFoundAgain(t *testing.T) {
+func TestDaemonForgottenByAllOthersIsContactedAgain(t *testing.T) {
 	s := newSimulation(0, 4, 2)
 	removals(t, s)
 	s.run(6 * time.Second)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -81,7 +81,7 @@
 		return true
 	}
 	if len(s.pending) == 0 {
-		s.nextFlush = s.now.Add(s.timing.Gather)
+		s.nextFlush = s.now.Add(s.timing.FlushDelay)
 	}
 	s.pending = append(s.pending, pendingFact{f, source})
 	return true
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -14,7 +14,7 @@
 // join asks a seed for all facts. The daemon introduces itself only when it
 // holds them, so that it knows its watchers before they expect its heartbeats.
 func (s *State) join() {
-	s.nextJoin = s.now.Add(s.timing.Join)
+	s.nextJoin = s.now.Add(s.timing.JoinInterval)
 	seeds := s.otherSeeds()
 	if len(seeds) == 0 {
 		s.introduce()
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -52,8 +52,8 @@
 	}, "")
 }
 
-// FirstFact is the fact by which a daemon of the next incarnation presents itself.
-func FirstFact(node structs.Node) *gossipv1.Fact {
+// InitialNodeFact is the fact by which a daemon of the next incarnation presents itself.
+func InitialNodeFact(node structs.Node) *gossipv1.Fact {
 	return &gossipv1.Fact{
 		Key:   nodeKey(node.ID),
 		Major: uint64(node.Incarnation) + 1,
@@ -263,8 +263,8 @@
 	s.flush()
 }
 
-// Left takes the daemon out of the members; it must not send afterwards.
-func (s *State) Left(now time.Time) {
+// RemoveSelf takes the daemon out of the members; it must not send afterwards.
+func (s *State) RemoveSelf(now time.Time) {
 	s.now = now
 	self := s.options.Self
 	s.learn(&gossipv1.Fact{
@@ -283,16 +283,16 @@
 func (s *State) sweep() {
 	s.nextSweep = s.now.Add(sweepPeriod)
 	for id, m := range s.members {
-		if m.node.State == structs.NodeDead && s.now.Sub(m.removed) > s.timing.Tombstone {
+		if m.node.State == structs.NodeDead && s.now.Sub(m.removed) > s.timing.TombstoneLifetime {
 			if held := s.facts.get(nodeKey(id)); held != nil {
 				s.facts.forget(held)
 			}
 			delete(s.members, id)
-			s.emit(Event{Kind: NodeForgotten, Node: m.node})
+			s.emit(Event{Kind: NodeExpired, Node: m.node})
 		}
 	}
 	for nonce, p := range s.pings {
-		if s.now.Sub(p.sent) > s.timing.Tombstone {
+		if s.now.Sub(p.sent) > s.timing.TombstoneLifetime {
 			delete(s.pings, nonce)
 		}
 	}
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -19,46 +19,46 @@
 	// Random is the source of every choice by chance.
 	Random *rand.Rand
 	// NewEstimator makes the timeout of a watched peer; nil means DefaultEstimator.
-	NewEstimator func() Estimator
+	NewEstimator func() TimeoutEstimator
 	// Timing holds the periods; the zero value means DefaultTiming.
 	Timing Timing
 }
 
 // Timing holds the periods of failure detection and dissemination.
 type Timing struct {
-	// Heartbeat is the period of heartbeats.
-	Heartbeat time.Duration
-	// Grace is how long a newly watched peer may stay silent.
-	Grace time.Duration
+	// HeartbeatInterval is the period of heartbeats.
+	HeartbeatInterval time.Duration
+	// InitialTimeout is how long a newly watched peer may stay silent.
+	InitialTimeout time.Duration
 	// ProbeTimeout bounds the wait for direct and indirect answers.
 	ProbeTimeout time.Duration
-	// Refutation is how long an accused daemon has to contradict before it is removed.
-	Refutation time.Duration
-	// Gather is how long a changed fact waits for others to be sent with it.
-	Gather time.Duration
-	// LinkSilence is how long a link between zones may be silent before it
+	// RefutationTimeout is how long an accused daemon has to contradict before it is removed.
+	RefutationTimeout time.Duration
+	// FlushDelay is how long a changed fact waits for others to be sent with it.
+	FlushDelay time.Duration
+	// LinkTimeout is how long a link between zones may be silent before it
 	// counts as cut.
-	LinkSilence time.Duration
-	// Settle is how long digests may differ before they are compared by bucket.
-	Settle time.Duration
-	// Tombstone is how long a removed daemon is remembered.
-	Tombstone time.Duration
-	// Join is the period at which a daemon that knows no other asks its seeds.
-	Join time.Duration
+	LinkTimeout time.Duration
+	// SettleTime is how long digests may differ before they are compared by bucket.
+	SettleTime time.Duration
+	// TombstoneLifetime is how long a removed daemon is remembered.
+	TombstoneLifetime time.Duration
+	// JoinInterval is the period at which a daemon that knows no other asks its seeds.
+	JoinInterval time.Duration
 }
 
 // DefaultTiming returns the periods that docs/design/membership.md derives.
 func DefaultTiming() Timing {
 	return Timing{
-		Heartbeat:    time.Second,
-		Grace:        3 * time.Second,
-		ProbeTimeout: 600 * time.Millisecond,
-		Refutation:   800 * time.Millisecond,
-		Gather:       50 * time.Millisecond,
-		LinkSilence:  3500 * time.Millisecond,
-		Settle:       2 * time.Second,
-		Tombstone:    time.Hour,
-		Join:         time.Second,
+		HeartbeatInterval: time.Second,
+		InitialTimeout:    3 * time.Second,
+		ProbeTimeout:      600 * time.Millisecond,
+		RefutationTimeout: 800 * time.Millisecond,
+		FlushDelay:        50 * time.Millisecond,
+		LinkTimeout:       3500 * time.Millisecond,
+		SettleTime:        2 * time.Second,
+		TombstoneLifetime: time.Hour,
+		JoinInterval:      time.Second,
 	}
 }
 
@@ -77,8 +77,8 @@
 	NodeChanged EventKind = iota
 	// ItemChanged: a newer item is held.
 	ItemChanged
-	// DocumentInForce: a newer version of the document is in force.
-	DocumentInForce
+	// DocumentActivated: a newer version of the document is in force.
+	DocumentActivated
 	// SelfRemoved: the others removed this daemon. It must stop leading, and
 	// call Rejoin to come back under a higher incarnation.
 	SelfRemoved
@@ -86,8 +86,8 @@
 	// one of them came back.
 	ZoneUnreachable
 	ZoneReachable
-	// NodeForgotten: a daemon that was removed long ago is no longer known.
-	NodeForgotten
+	// NodeExpired: a daemon that was removed long ago is no longer known.
+	NodeExpired
 )
 
 // Event is a change that the runner reports.
--- a/internal/membership/stability.go
+++ b/internal/membership/stability.go
@@ -21,7 +21,7 @@
 	period   time.Duration
 	margin   time.Duration
 	updated  time.Time
-	links    []*Stability
+	links    []*StabilityEstimator
 	quartile [3]float64
 	spread   float64
 }
@@ -31,11 +31,11 @@
 	return &StabilityGroup{period: period, margin: margin}
 }
 
-// Stability is the estimator of one link of a group: Chen's estimate of the
+// StabilityEstimator is the estimator of one link of a group: Chen's estimate of the
 // arrival, and a margin by the link's stability.
-type Stability struct {
+type StabilityEstimator struct {
 	group    *StabilityGroup
-	arrivals *Chen
+	arrivals *ChenEstimator
 	// Value rises while the link makes no mistakes.
 	Value    float64
 	mistakes int
@@ -43,25 +43,25 @@
 }
 
 // New adds a link to the group.
-func (g *StabilityGroup) New() *Stability {
-	link := &Stability{group: g, arrivals: NewChen(g.period, 0), Value: initialStability}
+func (g *StabilityGroup) New() *StabilityEstimator {
+	link := &StabilityEstimator{group: g, arrivals: NewChenEstimator(g.period, 0), Value: initialStability}
 	g.links = append(g.links, link)
 	g.rank()
 	return link
 }
 
-// Heartbeat takes an arrival.
-func (s *Stability) Heartbeat(now time.Time, number uint64) {
-	s.arrivals.Heartbeat(now, number)
+// HeartbeatInterval takes an arrival.
+func (s *StabilityEstimator) ObserveHeartbeat(now time.Time, number uint64) {
+	s.arrivals.ObserveHeartbeat(now, number)
 	s.count++
 	s.group.update(now)
 }
 
-// Mistake tells that the peer was suspected wrongly.
-func (s *Stability) Mistake() { s.mistakes++ }
+// ObserveFalseSuspicion tells that the peer was suspected wrongly.
+func (s *StabilityEstimator) ObserveFalseSuspicion() { s.mistakes++ }
 
 // Deadline is the expected arrival and the margin of the link's rank.
-func (s *Stability) Deadline() time.Time { return s.arrivals.expected().Add(s.margin()) }
+func (s *StabilityEstimator) Deadline() time.Time { return s.arrivals.expected().Add(s.margin()) }
 
 // update is task T4 of the paper's algorithm 2.
 func (g *StabilityGroup) update(now time.Time) {
@@ -102,7 +102,7 @@
 }
 
 // margin is the paper's algorithm 3.
-func (s *Stability) margin() time.Duration {
+func (s *StabilityEstimator) margin() time.Duration {
 	g := s.group
 	factor := 0.0
 	switch {
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -88,7 +88,7 @@
 		options.Timing = DefaultTiming()
 	}
 	if options.NewEstimator == nil {
-		options.NewEstimator = func() Estimator { return DefaultEstimator(options.Timing.Heartbeat) }
+		options.NewEstimator = func() TimeoutEstimator { return DefaultEstimator(options.Timing.HeartbeatInterval) }
 	}
 	s := &State{
 		options:     options,
@@ -185,7 +185,7 @@
 // NextWake returns when Tick is due next if no message comes before.
 func (s *State) NextWake() time.Time {
 	if !s.started || s.removedSelf {
-		return s.now.Add(s.timing.Heartbeat)
+		return s.now.Add(s.timing.HeartbeatInterval)
 	}
 	wake := s.nextHeartbeat
 	if !s.joined {
@@ -206,7 +206,7 @@
 		if a.witness(s.options.Self.ID) == nil {
 			continue
 		}
-		earlier(a.confirmed.Add(s.timing.Refutation))
+		earlier(a.confirmed.Add(s.timing.RefutationTimeout))
 	}
 	if !wake.After(s.now) {
 		return s.now.Add(time.Millisecond)
@@ -217,14 +217,14 @@
 // beat sends a heartbeat to each watcher and link peer.
 func (s *State) beat() {
 	s.heartbeat++
-	s.nextHeartbeat = s.nextHeartbeat.Add(s.timing.Heartbeat)
+	s.nextHeartbeat = s.nextHeartbeat.Add(s.timing.HeartbeatInterval)
 	if s.heartbeat == 1 {
 		// The first one goes out at once; the phase of the others is random, so
 		// that daemons that started together don't send together.
-		s.nextHeartbeat = s.now.Add(time.Duration(s.options.Random.Int64N(int64(s.timing.Heartbeat))))
+		s.nextHeartbeat = s.now.Add(time.Duration(s.options.Random.Int64N(int64(s.timing.HeartbeatInterval))))
 	}
 	if s.nextHeartbeat.Before(s.now) {
-		s.nextHeartbeat = s.now.Add(s.timing.Heartbeat)
+		s.nextHeartbeat = s.now.Add(s.timing.HeartbeatInterval)
 	}
 	for _, neighbour := range s.topology().neighbours {
 		s.send(neighbour.node, &gossipv1.Message{
@@ -251,5 +251,5 @@
 	if s.options.Document == nil {
 		return 0
 	}
-	return s.options.Document.InForce()
+	return s.options.Document.ActiveVersion()
 }
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestDeadDaemonIsRemovedInTimeAndOthersStay(t *testing.T) {
+func TestOnlyCrashedDaemonIsRemoved(t *testing.T) {
 	s := newSimulation(1, 12, 3)
 	removals(t, s)
 	s.loss = 0.01
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestZoneThatWasCutOffComesBackWhole(t *testing.T) {
+func TestPartitionedZoneRecovers(t *testing.T) {
 	s := newSimulation(2, 15, 3)
 	s.run(8 * time.Second)
 	s.cut["z1"] = true
@@ -155,7 +155,7 @@
 	}
 }
 
-func TestRegionsThatLoseEachOtherRemoveNobody(t *testing.T) {
+func TestPartitionedRegionsRemoveNobody(t *testing.T) {
 	for zones := 4; zones <= 9; zones++ {
 		s := newSimulation(uint64(zones), 4*zones, zones)
 		s.run(8 * time.Second)
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestRackThatWasCutOffRemovesNobody(t *testing.T) {
+func TestPartitionedRackRemovesNobody(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
 		s := newSimulation(seed, 24, 2)
 		s.run(8 * time.Second)
@@ -204,7 +204,7 @@
 	}
 }
 
-func TestPausedDaemonLearnsThatItWasRemoved(t *testing.T) {
+func TestPausedDaemonLearnsOfItsRemoval(t *testing.T) {
 	s := newSimulation(3, 9, 3)
 	s.run(8 * time.Second)
 	paused := s.peers[4]
@@ -219,7 +219,7 @@
 	require.Empty(t, s.disagreement())
 }
 
-func TestOneWitnessDoesNotRemove(t *testing.T) {
+func TestOneWitnessIsNotEnoughForRemoval(t *testing.T) {
 	s := newSimulation(4, 3, 3)
 	s.run(8 * time.Second)
 	s.peers[1].state.Receive(s.now, &gossipv1.Message{From: "n00", Incarnation: 1, Facts: []*gossipv1.Fact{{
@@ -229,7 +229,7 @@
 	require.Equal(t, structs.NodeAlive, node.State)
 }
 
-func TestAccusedDaemonRefutes(t *testing.T) {
+func TestAccusedDaemonRefutesAccusation(t *testing.T) {
 	s := newSimulation(5, 6, 2)
 	s.run(8 * time.Second)
 	for _, witness := range []string{"n00", "n02"} {
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -35,7 +35,7 @@
 // compareWith starts a comparison by bucket once the facts have been quiet
 // long enough that the difference is no change still on its way.
 func (s *State) compareWith(peer *member) {
-	if s.now.Before(s.nextSync) || s.now.Sub(s.lastChanged) < s.timing.Settle {
+	if s.now.Before(s.nextSync) || s.now.Sub(s.lastChanged) < s.timing.SettleTime {
 		return
 	}
 	s.nextSync = s.now.Add(syncPause)
--- a/internal/membership/watch.go
+++ b/internal/membership/watch.go
@@ -14,7 +14,7 @@
 type watch struct {
 	peer        *member
 	incarnation structs.Incarnation
-	estimator   Estimator
+	estimator   TimeoutEstimator
 	// deadline is when the peer is probed unless it shows life.
 	deadline time.Time
 	// probing is when the running probe gives up; zero if none runs.
@@ -59,7 +59,7 @@
 			peer:        peer,
 			incarnation: peer.node.Incarnation,
 			estimator:   s.options.NewEstimator(),
-			deadline:    s.now.Add(s.timing.Grace),
+			deadline:    s.now.Add(s.timing.InitialTimeout),
 		}
 	}
 	for id := range s.watches {
@@ -79,9 +79,9 @@
 	}
 	if m.Heartbeat > 0 {
 		if !w.probing.IsZero() || w.accused {
-			w.estimator.Mistake()
+			w.estimator.ObserveFalseSuspicion()
 		}
-		w.estimator.Heartbeat(s.now, m.Heartbeat)
+		w.estimator.ObserveHeartbeat(s.now, m.Heartbeat)
 	}
 	s.trust(w)
 }
@@ -91,7 +91,7 @@
 	w.probing = time.Time{}
 	w.accused = false
 	deadline := w.estimator.Deadline()
-	if earliest := s.now.Add(s.timing.Heartbeat / 2); deadline.Before(earliest) {
+	if earliest := s.now.Add(s.timing.HeartbeatInterval / 2); deadline.Before(earliest) {
 		deadline = earliest
 	}
 	w.deadline = deadline
--- a/internal/membership/zone.go
+++ b/internal/membership/zone.go
@@ -66,7 +66,7 @@
 	silent := map[structs.ZoneName]bool{}
 	for _, peer := range s.derived.links {
 		l := s.links[peer.node.ID]
-		l.cut = s.now.Sub(l.heard) > s.timing.LinkSilence
+		l.cut = s.now.Sub(l.heard) > s.timing.LinkTimeout
 		zone := peer.node.Zone
 		if before, known := silent[zone]; known {
 			silent[zone] = before && l.cut
--- a/internal/operator/apply.go
+++ b/internal/operator/apply.go
@@ -83,7 +83,7 @@
 
 // appliedBefore answers for a plan that is no longer kept, by the audit trail.
 func (s *Service) appliedBefore(ctx context.Context, id string) (Applied, error) {
-	base, wellFormed := plan.BaseOf(id)
+	base, wellFormed := plan.BaseVersionOf(id)
 	if !wellFormed {
 		return Applied{}, &UnknownPlan{PlanID: id}
 	}
@@ -110,7 +110,7 @@
 	if inForce.Version != a.plan.BaseVersion {
 		return a.settle(ctx, inForce)
 	}
-	if a.plan.Empty() {
+	if a.plan.IsEmpty() {
 		return Applied{PlanID: a.plan.ID, Version: inForce.Version, Repeated: true}, nil
 	}
 	if err := a.check(ctx, inForce); err != nil {
@@ -155,7 +155,7 @@
 		return nil
 	}
 	current := a.service.make(ctx, a.plan.Operator, inForce, a.plan.Declarations)
-	if missing := current.Unaccepted(a.confirmation.AcceptedHarms); len(missing) > 0 {
+	if missing := current.UnacceptedHarms(a.confirmation.AcceptedHarms); len(missing) > 0 {
 		return &HarmNotAccepted{PlanID: a.plan.ID, Harms: missing}
 	}
 	a.checked = true
--- a/internal/operator/fake_test.go
+++ b/internal/operator/fake_test.go
@@ -180,18 +180,18 @@
 }
 
 // quietBackend is a daemon with nothing under way.
-type quietBackend struct{ use plan.Use }
+type quietBackend struct{ use plan.Usage }
 
 func (b *quietBackend) InForceVersions(context.Context) map[structs.NodeID]uint64 {
 	return map[structs.NodeID]uint64{"a": 1}
 }
-func (b *quietBackend) Use(context.Context) plan.Use                    { return b.use }
+func (b *quietBackend) Use(context.Context) plan.Usage                  { return b.use }
 func (b *quietBackend) Nodes() []structs.Node                           { return []structs.Node{{ID: "a"}, {ID: "b"}} }
 func (b *quietBackend) Engines() ([]structs.EngineStatus, bool)         { return nil, false }
 func (b *quietBackend) Shards(context.Context) []ShardStatus            { return nil }
 func (b *quietBackend) DrainNode(context.Context, structs.NodeID) error { return nil }
 
-func newTestService(platform Platform, use plan.Use) *Service {
+func newTestService(platform Platform, use plan.Usage) *Service {
 	return NewService(Options{
 		Platform: platform,
 		Backend:  &quietBackend{use: use},
--- a/internal/operator/handler_test.go
+++ b/internal/operator/handler_test.go
@@ -19,7 +19,7 @@
 // TestPlanThatIsNoLongerKept: the platform may expire plans.
 func TestPlanThatIsNoLongerKept(t *testing.T) {
 	store := newObjectStore()
-	service := newTestService(direct{store}, plan.Use{Known: true})
+	service := newTestService(direct{store}, plan.Usage{Complete: true})
 	wanted := example(t)
 	first, err := service.Create(context.Background(), "lin", wanted)
 	require.NoError(t, err)
@@ -45,7 +45,7 @@
 	store := newObjectStore()
 	sum := sha256.Sum256([]byte("secret"))
 	handler, err := NewHandler(HandlerOptions{
-		Service:      newTestService(direct{store}, plan.Use{Known: true}),
+		Service:      newTestService(direct{store}, plan.Usage{Complete: true}),
 		TokensSHA256: map[string]string{"lin": strings.ToUpper(hex.EncodeToString(sum[:]))},
 		MaxBodyBytes: 4096,
 	})
--- a/internal/operator/operations.go
+++ b/internal/operator/operations.go
@@ -170,13 +170,13 @@
 // GetPrograms implements operatorapi.Handler.
 func (o *operations) GetPrograms(ctx context.Context) (*operatorapi.Programs, error) {
 	use := o.service.backend.Use(ctx)
-	response := &operatorapi.Programs{Complete: use.Known, Counts: []operatorapi.ProgramCount{}}
+	response := &operatorapi.Programs{Complete: use.Complete, Counts: []operatorapi.ProgramCount{}}
 	for _, count := range use.Counts {
 		response.Counts = append(response.Counts, operatorapi.ProgramCount{
 			Program:  string(count.Program),
 			Tenant:   string(count.Tenant),
 			Domain:   count.Domain,
-			UnderWay: count.UnderWay,
+			UnderWay: count.Running,
 		})
 	}
 	return response, nil
--- a/internal/operator/planning.go
+++ b/internal/operator/planning.go
@@ -68,11 +68,11 @@
 	for _, shard := range s.backend.Shards(ctx) {
 		members[shard.Shard] = shard.Members
 	}
-	return plan.Make(plan.Input{
-		InForce:  inForce,
-		Wanted:   wanted,
+	return plan.New(plan.Input{
+		Active:   inForce,
+		Desired:  wanted,
 		Operator: operator,
-		Use:      s.backend.Use(ctx),
+		Usage:    s.backend.Use(ctx),
 		Nodes:    s.backend.Nodes(),
 		Members:  members,
 		Engines:  engines,
@@ -126,7 +126,7 @@
 }
 
 func (s *Service) load(ctx context.Context, id string) (*plan.Plan, error) {
-	if _, wellFormed := plan.BaseOf(id); !wellFormed {
+	if _, wellFormed := plan.BaseVersionOf(id); !wellFormed {
 		return nil, &UnknownPlan{PlanID: id}
 	}
 	object, err := s.get(ctx, PlanPrefix+id)
--- a/internal/operator/race_test.go
+++ b/internal/operator/race_test.go
@@ -116,7 +116,7 @@
 }
 
 func requireArchived(t require.TestingT, store *objectStore, root *structs.Configuration) {
-	record, err := newTestService(direct{store}, plan.Use{}).archived(context.Background(), root.Audit.Base)
+	record, err := newTestService(direct{store}, plan.Usage{}).archived(context.Background(), root.Audit.Base)
 	require.NoError(t, err)
 	require.Equal(t, recordOf(root), record, "the trail lacks version %d", root.Version)
 }
@@ -129,10 +129,10 @@
 	choose := seeded{rand.New(rand.NewPCG(1, 2))}
 	store := newObjectStore()
 	base := example(t)
-	created, err := newTestService(direct{store}, plan.Use{Known: true}).Create(context.Background(), "first", base)
+	created, err := newTestService(direct{store}, plan.Usage{Complete: true}).Create(context.Background(), "first", base)
 	require.NoError(t, err)
 	all := []*attempt{{operator: "first", planID: created.ID}}
-	all[0].applyUntilSettled(newTestService(direct{store}, plan.Use{Known: true}), store, 1)
+	all[0].applyUntilSettled(newTestService(direct{store}, plan.Usage{Complete: true}), store, 1)
 	wins := map[string]int{}
 	asked := 0
 	for race := range races {
@@ -150,7 +150,7 @@
 	require.Equal(t, races, wins["lin"]+wins["wu"])
 	require.Len(t, store.roots, races+1)
 	requireHistory(t, store, all)
-	trail, err := newTestService(direct{store}, plan.Use{}).Audit(context.Background(), MaxAuditRecords)
+	trail, err := newTestService(direct{store}, plan.Usage{}).Audit(context.Background(), MaxAuditRecords)
 	require.NoError(t, err)
 	require.Len(t, trail, MaxAuditRecords)
 	t.Logf("%d races: lin won %d, wu won %d; %d requests to apply, %d versions", races, wins["lin"], wins["wu"], asked, len(store.roots))
@@ -162,13 +162,13 @@
 	var tasks []func()
 	for i, name := range []string{"lin", "wu"} {
 		wanted.Tenants[i].Weight = float64(race + 2)
-		created, err := newTestService(direct{store}, plan.Use{Known: true}).Create(context.Background(), name, clone(wanted))
+		created, err := newTestService(direct{store}, plan.Usage{Complete: true}).Create(context.Background(), name, clone(wanted))
 		require.NoError(t, err)
 		one := &attempt{operator: name, planID: created.ID}
 		link := newConnection(store)
 		pair = append(pair, one)
 		connections = append(connections, link)
-		tasks = append(tasks, func() { one.applyUntilSettled(newTestService(link, plan.Use{Known: true}), store, 1000) })
+		tasks = append(tasks, func() { one.applyUntilSettled(newTestService(link, plan.Usage{Complete: true}), store, 1000) })
 	}
 	runAll(choose, faultPercent, connections, tasks)
 	return pair
@@ -191,7 +191,7 @@
 			link := newConnection(store)
 			connections = append(connections, link)
 			tasks = append(tasks, func() {
-				made[i] = operate(newTestService(link, plan.Use{Known: true}), store, fmt.Sprintf("operator-%d", i), clone(base), rounds)
+				made[i] = operate(newTestService(link, plan.Usage{Complete: true}), store, fmt.Sprintf("operator-%d", i), clone(base), rounds)
 			})
 		}
 		runAll(drawn{t}, faultPercent, connections, tasks)
@@ -200,7 +200,7 @@
 			all = append(all, each...)
 		}
 		requireHistory(t, store, all)
-		recovered := newTestService(direct{store}, plan.Use{Known: true})
+		recovered := newTestService(direct{store}, plan.Usage{Complete: true})
 		for _, one := range all {
 			one.applyUntilSettled(recovered, store, 2)
 			require.True(t, one.settled())
@@ -219,7 +219,7 @@
 		wanted.Tenants[round%2].Weight++
 		wanted.Tools[0].Retries = round
 		created := createUntilKept(service, name, clone(wanted), 3)
-		if created == nil || created.Empty() {
+		if created == nil || created.IsEmpty() {
 			continue
 		}
 		one := &attempt{operator: name, planID: created.ID}
--- a/internal/operator/service.go
+++ b/internal/operator/service.go
@@ -28,7 +28,7 @@
 	// that gave no answer are left out.
 	InForceVersions(ctx context.Context) map[structs.NodeID]uint64
 	// Use counts the programs under way over all shards.
-	Use(ctx context.Context) plan.Use
+	Use(ctx context.Context) plan.Usage
 	// Nodes returns the daemons of the membership view.
 	Nodes() []structs.Node
 	// Engines returns the last reports of the engines that the daemon knows, and
--- a/internal/placement/domain.go
+++ b/internal/placement/domain.go
@@ -11,11 +11,11 @@
 // domainSeparator joins the zones of a domain into its name.
 const domainSeparator = "+"
 
-// Domains returns the placement domains of the declarations: previous, as it
+// ExtendDomains returns the placement domains of the declarations: previous, as it
 // was, followed by a domain for each set of history zones that has none yet.
 // Program ids carry shard numbers, so a domain keeps its range for ever, also
 // when no program names its zones any more or ShardsPerDomain changes.
-func Domains(d structs.Declarations, previous []structs.Domain) []structs.Domain {
+func ExtendDomains(d structs.Declarations, previous []structs.Domain) []structs.Domain {
 	domains := slices.Clone(previous)
 	next := structs.ShardID(0)
 	known := map[string]bool{}
@@ -60,8 +60,8 @@
 	return strings.ReplaceAll(joinZones(sortedZones(zones)), ",", domainSeparator)
 }
 
-// DomainOf returns the domain that the shard belongs to.
-func DomainOf(domains []structs.Domain, shard structs.ShardID) (structs.Domain, bool) {
+// DomainOfShard returns the domain that the shard belongs to.
+func DomainOfShard(domains []structs.Domain, shard structs.ShardID) (structs.Domain, bool) {
 	for _, domain := range domains {
 		if shard >= domain.FirstShard && shard-domain.FirstShard < structs.ShardID(domain.ShardCount) {
 			return domain, true
@@ -70,11 +70,11 @@
 	return structs.Domain{}, false
 }
 
-// DomainFor returns the domain whose zones are exactly those permitted. There
+// DomainOfZones returns the domain whose zones are exactly those permitted. There
 // is one from the moment that a declaration names the set, and it never
 // changes, so a repeated opening finds the same program whatever was declared
 // in between. The error is a *failure.NoPermittedPlace.
-func DomainFor(domains []structs.Domain, permitted []structs.ZoneName) (structs.Domain, error) {
+func DomainOfZones(domains []structs.Domain, permitted []structs.ZoneName) (structs.Domain, error) {
 	name := domainName(permitted)
 	for _, domain := range domains {
 		if len(permitted) > 0 && domainName(domain.Zones) == name {
@@ -84,11 +84,11 @@
 	return structs.Domain{}, &failure.NoPermittedPlace{What: string(History), Zones: joinZones(permitted)}
 }
 
-// Confined reports whether data of the domain may rest only where the policy
+// Restricted reports whether data of the domain may rest only where the policy
 // permits history.
-func Confined(policy Policy, domain structs.Domain) error {
+func CheckDomain(policy Policy, domain structs.Domain) error {
 	for _, zone := range domain.Zones {
-		if err := Permit(policy, History, zone); err != nil {
+		if err := Check(policy, History, zone); err != nil {
 			return err
 		}
 	}
--- a/internal/placement/permit.go
+++ b/internal/placement/permit.go
@@ -11,21 +11,21 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Data is a kind of data that rests or arrives somewhere.
-type Data string
+// DataKind is a kind of data that rests or arrives somewhere.
+type DataKind string
 
 // The kinds of data.
 const (
 	// History is a journal copy: a replica's memory, its disk, a snapshot.
-	History Data = "history"
+	History DataKind = "history"
 	// Cache is an engine's prefix cache, with the prompt that fills it.
-	Cache Data = "cache"
+	Cache DataKind = "cache"
 	// KVExport is cache on its way into another engine.
-	KVExport Data = "kv_export"
+	KVExport DataKind = "kv_export"
 	// ToolArguments are what a tool service receives.
-	ToolArguments Data = "tool_arguments"
+	ToolArguments DataKind = "tool_arguments"
 	// LogText is a log line that shows a program's text.
-	LogText Data = "log_text"
+	LogText DataKind = "log_text"
 )
 
 // Policy is where one program's data may rest.
@@ -34,13 +34,13 @@
 	CacheZones   []structs.ZoneName
 }
 
-// Permit is the one decision on residency: whether the data may rest in the
+// Check is the one decision on residency: whether the data may rest in the
 // zone. It returns nil or a *failure.NoPermittedPlace. A policy without zones
 // permits nothing.
 //
 // A tool may stand wherever the program's history or its cache may rest: both
 // hold the text of the arguments.
-func Permit(policy Policy, data Data, zone structs.ZoneName) error {
+func Check(policy Policy, data DataKind, zone structs.ZoneName) error {
 	permitted := policy.zones(data)
 	if slices.Contains(permitted, zone) {
 		return nil
@@ -49,7 +49,7 @@
 }
 
 // zones returns where the data may rest; nowhere, for data of no known kind.
-func (p Policy) zones(data Data) []structs.ZoneName {
+func (p Policy) zones(data DataKind) []structs.ZoneName {
 	switch data {
 	case History, LogText:
 		return p.HistoryZones
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -18,21 +18,21 @@
 // -rapid.seed overrides it.
 func TestMain(m *testing.M) { fuzzseed.Main(m, fuzzseed.Seed("20260102")) }
 
-func TestPermitIsByKindOfData(t *testing.T) {
+func TestCheckByDataKind(t *testing.T) {
 	policy := Policy{HistoryZones: []structs.ZoneName{"a"}, CacheZones: []structs.ZoneName{"b"}}
-	permitted := map[Data][]structs.ZoneName{
+	permitted := map[DataKind][]structs.ZoneName{
 		History: {"a"}, LogText: {"a"}, Cache: {"b"}, KVExport: {"b"}, ToolArguments: {"a", "b"}, "other": nil,
 	}
 	for data, zones := range permitted {
 		for _, zone := range []structs.ZoneName{"a", "b", "c"} {
-			err := Permit(policy, data, zone)
+			err := Check(policy, data, zone)
 			if slices.Contains(zones, zone) {
 				require.NoError(t, err, "%s in %s", data, zone)
 				continue
 			}
 			require.Equal(t, &failure.NoPermittedPlace{What: string(data), Zones: joinZones(zones)}, err)
 		}
-		require.Error(t, Permit(Policy{}, data, ""), "no zones permit nothing")
+		require.Error(t, Check(Policy{}, data, ""), "no zones permit nothing")
 	}
 }
 
@@ -49,24 +49,24 @@
 			for range rapid.IntRange(0, 4).Draw(t, "programs") {
 				declared.Programs = append(declared.Programs, structs.AgentProgram{HistoryZones: drawZones(t, "zones")})
 			}
-			next := Domains(declared, domains)
+			next := ExtendDomains(declared, domains)
 			require.Equal(t, domains, append([]structs.Domain(nil), next[:len(domains)]...))
 			domains = next
 			for _, program := range declared.Programs {
-				found, err := DomainFor(domains, program.HistoryZones)
+				found, err := DomainOfZones(domains, program.HistoryZones)
 				require.NoError(t, err)
-				require.NoError(t, Confined(Policy{HistoryZones: program.HistoryZones}, found))
+				require.NoError(t, CheckDomain(Policy{HistoryZones: program.HistoryZones}, found))
 			}
 		}
 		first := structs.ShardID(0)
 		for _, domain := range domains {
 			require.Equal(t, first, domain.FirstShard, "ranges neither overlap nor leave gaps")
 			first += structs.ShardID(domain.ShardCount)
-			last, found := DomainOf(domains, first-1)
+			last, found := DomainOfShard(domains, first-1)
 			require.True(t, found)
 			require.Equal(t, domain.Name, last.Name)
 		}
-		_, found := DomainOf(domains, first)
+		_, found := DomainOfShard(domains, first)
 		require.False(t, found)
 	})
 }
@@ -125,12 +125,12 @@
 	return nodes
 }
 
-func TestReplicasStandApartInTheDomain(t *testing.T) {
+func TestReplicasAreInDifferentZonesOfDomain(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawFleet(t)
 		domain := wholeDomain(rapid.IntRange(1, 4).Draw(t, "zones"))
 		free := candidates(domain, nodes)
-		chosen := Replicas(domain, 5, nodes, 3)
+		chosen := SelectReplicas(domain, 5, nodes, 3)
 		require.Len(t, chosen, min(3, len(free)))
 		require.Len(t, zonesOf(chosen), min(3, distinct(free)), "different zones first")
 		require.Equal(t, slices.ContainsFunc(free, func(n *structs.Node) bool { return n.HasDisk }), slices.ContainsFunc(chosen, hasDisk))
@@ -142,18 +142,18 @@
 			require.True(t, usable(&node))
 		}
 		rand.New(rand.NewPCG(1, 2)).Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-		require.Equal(t, chosen, Replicas(domain, 5, nodes, 3), "the order of the view does not matter")
+		require.Equal(t, chosen, SelectReplicas(domain, 5, nodes, 3), "the order of the view does not matter")
 	})
 }
 
-func TestReplicasAreStableAndSpread(t *testing.T) {
+func TestReplicasAreStableAndEvenlyDistributed(t *testing.T) {
 	nodes, domain := fleet(170, 17), wholeDomain(17)
 	gone := nodes[42]
 	fewer := slices.DeleteFunc(slices.Clone(nodes), func(n structs.Node) bool { return n.ID == gone.ID })
 	load := map[structs.NodeID]int{}
 	moved := 0
 	for shard := structs.ShardID(0); shard < 3000; shard++ {
-		before, after := Replicas(domain, shard, nodes, 3), Replicas(domain, shard, fewer, 3)
+		before, after := SelectReplicas(domain, shard, nodes, 3), SelectReplicas(domain, shard, fewer, 3)
 		for _, node := range before {
 			if !node.HasDisk {
 				load[node.ID]++
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestWantedReplacesOnlyTheLost(t *testing.T) {
+func TestDesiredMembersReplaceOnlyLostMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawFleet(t)
 		domain := wholeDomain(rapid.IntRange(1, 4).Draw(t, "zones"))
@@ -184,7 +184,7 @@
 				current = append(current, node.ID)
 			}
 		}
-		wanted := Wanted(domain, 5, current, nodes, 3)
+		wanted := DesiredMembers(domain, 5, current, nodes, 3)
 		require.GreaterOrEqual(t, len(wanted), min(3, len(current)), "a group is not made smaller")
 		require.LessOrEqual(t, len(wanted), 3, "a change does not make it larger for good")
 		free := len(candidates(domain, nodes))
@@ -199,56 +199,56 @@
 		for _, node := range staying {
 			require.True(t, len(staying) > 3 || slices.Contains(idsOf(wanted), node.ID))
 		}
-		require.Equal(t, wanted, Wanted(domain, 5, idsOf(wanted), nodes, 3), "the wish is stable")
+		require.Equal(t, wanted, DesiredMembers(domain, 5, idsOf(wanted), nodes, 3), "the wish is stable")
 	})
 }
 
-func TestWantedWaitsForALostZone(t *testing.T) {
+func TestDesiredMembersWaitForLostZone(t *testing.T) {
 	nodes, domain := fleet(6, 3), wholeDomain(1)
-	current := idsOf(Replicas(domain, 5, nodes, 3))
+	current := idsOf(SelectReplicas(domain, 5, nodes, 3))
 	require.Len(t, current, 2, "one zone, two machines")
 	for i := range nodes {
 		if nodes[i].Zone == "zone-0" {
 			nodes[i].State = structs.NodeDead
 		}
 	}
-	require.ElementsMatch(t, current, idsOf(Wanted(domain, 5, current, nodes, 3)))
+	require.ElementsMatch(t, current, idsOf(DesiredMembers(domain, 5, current, nodes, 3)))
 }
 
-func TestWantedDistrustsAViewWithoutTheGroup(t *testing.T) {
+func TestDesiredMembersIgnoreViewWithoutMajority(t *testing.T) {
 	nodes, domain := fleet(6, 3), wholeDomain(3)
 	strangers := []structs.NodeID{"x", "y", nodes[0].ID}
-	require.ElementsMatch(t, strangers, idsOf(Wanted(domain, 5, strangers, nodes, 3)))
+	require.ElementsMatch(t, strangers, idsOf(DesiredMembers(domain, 5, strangers, nodes, 3)))
 	majority := []structs.NodeID{"x", nodes[1].ID, nodes[0].ID}
-	require.NotContains(t, idsOf(Wanted(domain, 5, majority, nodes, 3)), structs.NodeID("x"))
+	require.NotContains(t, idsOf(DesiredMembers(domain, 5, majority, nodes, 3)), structs.NodeID("x"))
 }
 
-func TestDaemonWithTwoLivesCountsOnce(t *testing.T) {
+func TestDaemonWithTwoIncarnationsCountsOnce(t *testing.T) {
 	nodes, domain := fleet(9, 3), wholeDomain(3)
 	restarted := []structs.NodeID{"node-1", "node-1", "node-0"}
-	wanted := idsOf(Wanted(domain, 5, restarted, nodes, 3))
+	wanted := idsOf(DesiredMembers(domain, 5, restarted, nodes, 3))
 	slices.Sort(wanted)
 	require.Len(t, slices.Compact(wanted), 3)
 	whole := []structs.NodeID{"node-1", "node-0", "node-2", "node-1"}
-	require.ElementsMatch(t, whole[:3], idsOf(Wanted(domain, 5, whole, nodes, 3)))
-	require.ElementsMatch(t, whole[:3], idsOf(Spread(domain, 5, whole, nodes)))
+	require.ElementsMatch(t, whole[:3], idsOf(DesiredMembers(domain, 5, whole, nodes, 3)))
+	require.ElementsMatch(t, whole[:3], idsOf(ImproveZoneSpread(domain, 5, whole, nodes)))
 }
 
-func TestSpreadReturnsToALostZone(t *testing.T) {
+func TestZoneSpreadImprovesAfterZoneRecovers(t *testing.T) {
 	nodes, domain := fleet(9, 3), wholeDomain(3)
 	current := []structs.NodeID{"node-0", "node-3", "node-1"}
-	spread := Spread(domain, 5, current, nodes)
+	spread := ImproveZoneSpread(domain, 5, current, nodes)
 	require.Len(t, zonesOf(spread), 3)
 	require.Contains(t, idsOf(spread), structs.NodeID("node-1"), "one exchange at most")
-	require.ElementsMatch(t, idsOf(spread), idsOf(Spread(domain, 5, idsOf(spread), nodes)))
+	require.ElementsMatch(t, idsOf(spread), idsOf(ImproveZoneSpread(domain, 5, idsOf(spread), nodes)))
 	nodes[1].State = structs.NodeSuspect
 	nodes[3].State = structs.NodeDead
-	require.ElementsMatch(t, current, idsOf(Spread(domain, 5, current, nodes)))
+	require.ElementsMatch(t, current, idsOf(ImproveZoneSpread(domain, 5, current, nodes)))
 }
 
 func BenchmarkReplicas(b *testing.B) {
 	nodes, domain := fleet(1500, 17), wholeDomain(17)
 	for i := 0; b.Loop(); i++ {
-		Replicas(domain, structs.ShardID(i), nodes, 3)
+		SelectReplicas(domain, structs.ShardID(i), nodes, 3)
 	}
 }
--- a/internal/placement/regions_test.go
+++ b/internal/placement/regions_test.go
@@ -43,7 +43,7 @@
 	return permitted
 }
 
-func TestRegionsPermitAlikeForEachKindOfBody(t *testing.T) {
+func TestRegionPolicyTreatsAllDataKindsAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := drawPolicy(t)
 		zones := []string{"a", "b", "c", "d", "e", "unnamed", ""}
@@ -51,7 +51,7 @@
 		for _, zone := range zones {
 			require.Equal(t, expected[zone], policy.Permits(zone))
 			for _, data := range bodies {
-				err := policy.Permit(data, zone)
+				err := policy.Check(data, zone)
 				if expected[zone] {
 					require.NoError(t, err)
 					continue
@@ -62,14 +62,14 @@
 				require.Equal(t, failure.NotRun, refused.Outcome())
 				require.Positive(t, refused.Retry().After)
 			}
-			require.Equal(t, policy.Permitted == nil, policy.Permit("of_no_known_kind", zone) == nil)
+			require.Equal(t, policy.Permitted == nil, policy.Check("of_no_known_kind", zone) == nil)
 		}
 	})
 }
 
-// TestExcludesTellsWhetherMachinesMustBeToldApart: where nothing is excluded, all zones
+// TestExcludesAnyRegion: where nothing is excluded, all zones
 // that are named with a region are permitted.
-func TestExcludesTellsWhetherMachinesMustBeToldApart(t *testing.T) {
+func TestExcludesAnyRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := drawPolicy(t)
 		all := true
@@ -77,18 +77,18 @@
 			all = all && policy.Permits(zone)
 		}
 		confinedWithoutZones := policy.Permitted != nil && len(policy.RegionOf) == 0
-		require.Equal(t, !all || confinedWithoutZones, policy.Excludes())
+		require.Equal(t, !all || confinedWithoutZones, policy.ExcludesAnyRegion())
 	})
 }
 
-func TestARefusalNamesTheRegions(t *testing.T) {
+func TestDeniedErrorListsRegions(t *testing.T) {
 	policy := RegionPolicy{Permitted: []string{"north", "south"}}
-	require.EqualError(t, policy.Permit(Turn, "a"), "no permitted place for turn in regions north,south")
+	require.EqualError(t, policy.Check(Turn, "a"), "no permitted place for turn in regions north,south")
 	policy.Permitted = []string{}
-	require.EqualError(t, policy.Permit(Request, "a"), "no permitted place for request: no region is permitted by all that bind it")
+	require.EqualError(t, policy.Check(Request, "a"), "no permitted place for request: no region is permitted by all that bind it")
 }
 
-func TestRegionsOfZonesAreListedOnce(t *testing.T) {
+func TestRegionsAreListedOnce(t *testing.T) {
 	require.Equal(t, []string{"north", "south"}, Regions(map[string]string{"a": "south", "b": "north", "c": "south", "d": ""}))
 	require.Empty(t, Regions(nil))
 }
--- a/internal/placement/replicas.go
+++ b/internal/placement/replicas.go
@@ -9,12 +9,12 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Replicas chooses the daemons of a new replica group: at most size of those
+// SelectReplicas chooses the daemons of a new replica group: at most size of those
 // in the domain that are neither leaving nor dead. One has a disk where any
 // has; zones that hold none yet go first. Within that, each shard ranks the
 // daemons by a hash of its own, so that shards spread evenly and a daemon that
 // comes or goes concerns few shards.
-func Replicas(domain structs.Domain, shard structs.ShardID, nodes []structs.Node, size int) []structs.Node {
+func SelectReplicas(domain structs.Domain, shard structs.ShardID, nodes []structs.Node, size int) []structs.Node {
 	chosen := newSelection(shard, candidates(domain, nodes))
 	chosen.fill(size)
 	return chosen.members
@@ -29,7 +29,7 @@
 		node := &nodes[i]
 		verdict, asked := verdicts[node.Zone]
 		if !asked {
-			verdict = Permit(policy, History, node.Zone) == nil
+			verdict = Check(policy, History, node.Zone) == nil
 			verdicts[node.Zone] = verdict
 		}
 		if verdict && usable(node) {
--- a/internal/placement/wanted.go
+++ b/internal/placement/wanted.go
@@ -6,7 +6,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Wanted returns the members that a shard should have, given those it has and
+// DesiredMembers returns the members that a shard should have, given those it has and
 // this daemon's view of the nodes. Members that are dead or leaving are
 // replaced, each as soon as the domain has a daemon to take its place; the
 // others stay. Nothing moves out of the domain: where no daemon of it is free,
@@ -16,7 +16,7 @@
 // A member that the view does not show is taken for dead only while the view
 // shows a majority of the group as usable: a daemon that has just joined knows
 // few of its peers.
-func Wanted(domain structs.Domain, shard structs.ShardID, current []structs.NodeID, nodes []structs.Node, size int) []structs.Node {
+func DesiredMembers(domain structs.Domain, shard structs.ShardID, current []structs.NodeID, nodes []structs.Node, size int) []structs.Node {
 	view := indexNodes(nodes)
 	staying, lost := split(current, view)
 	if len(staying) > size {
@@ -90,11 +90,11 @@
 	return staying, lost
 }
 
-// Spread returns the members with at most one exchanged, so that the group
+// ImproveZoneSpread returns the members with at most one exchanged, so that the group
 // stands in more zones: a member of the zone with the most gives way to a
 // daemon of a zone with none. It undoes the crowding that Wanted leaves when a
 // lost zone comes back. A group with a member that is not usable is left alone.
-func Spread(domain structs.Domain, shard structs.ShardID, current []structs.NodeID, nodes []structs.Node) []structs.Node {
+func ImproveZoneSpread(domain structs.Domain, shard structs.ShardID, current []structs.NodeID, nodes []structs.Node) []structs.Node {
 	members, lost := split(current, indexNodes(nodes))
 	if len(lost) > 0 {
 		return append(members, lost...)
--- a/internal/plan/benchmark_test.go
+++ b/internal/plan/benchmark_test.go
@@ -38,7 +38,7 @@
 		nodes = manyDaemons(base, 1500)
 	}
 	wanted.Zones[0].Draining = true
-	made := Make(Input{InForce: inForce(base), Wanted: wanted, Use: voltkaiUse(), Nodes: nodes, Now: now})
+	made := New(Input{Active: inForce(base), Desired: wanted, Usage: voltkaiUse(), Nodes: nodes, Now: now})
 	require.Len(b, made.Differences, 1)
 }
 
--- a/internal/plan/consequence.go
+++ b/internal/plan/consequence.go
@@ -11,20 +11,20 @@
 
 // The kinds of consequences.
 const (
-	// Load: engines fetch weights from the weight store.
-	Load ConsequenceKind = "load"
-	// Unload: engines give weights up.
-	Unload ConsequenceKind = "unload"
-	// Drain: engines or a zone finish what they have and take nothing new.
-	Drain ConsequenceKind = "drain"
-	// Move: journal replicas change machines.
-	Move ConsequenceKind = "move"
-	// Refuse: requests that are taken now would be refused.
-	Refuse ConsequenceKind = "refuse"
-	// LackCapacity: what is wanted has no room now.
-	LackCapacity ConsequenceKind = "lack_capacity"
-	// Touch: programs under way go on under other terms.
-	Touch ConsequenceKind = "touch"
+	// LoadWeights: engines fetch weights from the weight store.
+	LoadWeights ConsequenceKind = "load"
+	// UnloadWeights: engines give weights up.
+	UnloadWeights ConsequenceKind = "unload"
+	// DrainEngines: engines or a zone finish what they have and take nothing new.
+	DrainEngines ConsequenceKind = "drain"
+	// MoveReplicas: journal replicas change machines.
+	MoveReplicas ConsequenceKind = "move"
+	// RejectRequests: requests that are taken now would be refused.
+	RejectRequests ConsequenceKind = "refuse"
+	// InsufficientCapacity: what is wanted has no room now.
+	InsufficientCapacity ConsequenceKind = "lack_capacity"
+	// ChangeSettings: programs under way go on under other terms.
+	ChangeSettings ConsequenceKind = "touch"
 )
 
 // Consequence is one thing that a plan would cause.
@@ -98,7 +98,7 @@
 // countText words a number of programs under way.
 func countText(programs int) string {
 	switch programs {
-	case Unknown:
+	case UnknownCount:
 		return "an unknown number of programs under way"
 	case 1:
 		return "1 program under way"
--- a/internal/plan/models.go
+++ b/internal/plan/models.go
@@ -28,7 +28,7 @@
 	}
 	if loadedBytes > 0 {
 		c.cause(Consequence{
-			Kind:         Load,
+			Kind:         LoadWeights,
 			Object:       objectName("Deployment", c.after.Deployment.Name),
 			Bytes:        loadedBytes,
 			Milliseconds: c.loadTime(loadedBytes),
@@ -58,7 +58,7 @@
 		return
 	}
 	c.cause(Consequence{
-		Kind:   Unload,
+		Kind:   UnloadWeights,
 		Object: objectName("Model", model),
 		Zone:   zone,
 		Count:  engines,
@@ -71,7 +71,7 @@
 		return
 	}
 	c.cause(Consequence{
-		Kind:   Drain,
+		Kind:   DrainEngines,
 		Object: objectName("Model", model),
 		Zone:   zone,
 		Count:  engines,
@@ -86,7 +86,7 @@
 	}
 	size := int64(engines) * model.WeightsBytes
 	c.cause(Consequence{
-		Kind:         Load,
+		Kind:         LoadWeights,
 		Object:       objectName("Model", model.Name),
 		Zone:         zone,
 		Count:        engines,
@@ -111,18 +111,18 @@
 	object := objectName("Model", model.Name)
 	for _, adapter := range model.Adapters {
 		if !slices.Contains(earlier.Adapters, adapter) {
-			c.cause(Consequence{Kind: Load, Object: object, Detail: "engines load adapter " + adapter})
+			c.cause(Consequence{Kind: LoadWeights, Object: object, Detail: "engines load adapter " + adapter})
 		}
 	}
 	for _, adapter := range earlier.Adapters {
 		if slices.Contains(model.Adapters, adapter) {
 			continue
 		}
-		c.cause(Consequence{Kind: Unload, Object: object, Detail: "engines unload adapter " + adapter})
+		c.cause(Consequence{Kind: UnloadWeights, Object: object, Detail: "engines unload adapter " + adapter})
 		c.cause(Consequence{
-			Kind:     Refuse,
+			Kind:     RejectRequests,
 			Object:   object,
-			Programs: c.input.Use.usersOf(c.before, model.Name),
+			Programs: c.input.Usage.usersOf(c.before, model.Name),
 			Detail:   "calls that ask for adapter " + adapter + " would be refused",
 		})
 	}
@@ -151,7 +151,7 @@
 		return
 	}
 	c.cause(Consequence{
-		Kind:   LackCapacity,
+		Kind:   InsufficientCapacity,
 		Object: objectName("Model", model.Name),
 		Zone:   zone,
 		Count:  wanted - live,
@@ -177,7 +177,7 @@
 }
 
 // usersOf counts the programs under way whose declaration names the model.
-func (u Use) usersOf(declarations structs.Declarations, model structs.ModelName) int {
+func (u Usage) usersOf(declarations structs.Declarations, model structs.ModelName) int {
 	users := map[structs.ProgramName]bool{}
 	for _, program := range declarations.Programs {
 		users[program.Name] = slices.Contains(program.Models, model)
--- a/internal/plan/places.go
+++ b/internal/plan/places.go
@@ -16,7 +16,7 @@
 		switch {
 		case !kept:
 			c.cause(Consequence{
-				Kind:   Drain,
+				Kind:   DrainEngines,
 				Object: objectName("Zone", zone.Name),
 				Zone:   zone.Name,
 				Count:  len(zone.Engines),
@@ -24,7 +24,7 @@
 			})
 		case wanted.Draining && !zone.Draining:
 			c.cause(Consequence{
-				Kind:   Drain,
+				Kind:   DrainEngines,
 				Object: objectName("Zone", zone.Name),
 				Zone:   zone.Name,
 				Count:  len(zone.Engines),
@@ -43,7 +43,7 @@
 
 // heldDomain compares a domain of the configuration in force.
 func (c *comparison) heldDomain(domain structs.Domain) {
-	programs := c.input.Use.ofDomain(domain.Name)
+	programs := c.input.Usage.ofDomain(domain.Name)
 	open := c.new.openZones(domain.Zones)
 	if len(c.old.openZones(domain.Zones)) > 0 && len(open) == 0 {
 		c.strandDomain(domain, programs, fmt.Sprintf("all zones of the domain (%s) leave or drain: %s can neither move nor go on",
@@ -78,15 +78,15 @@
 	moved := 0
 	for shard := domain.FirstShard; shard < domain.FirstShard+structs.ShardID(domain.ShardCount); shard++ {
 		current := c.members(domain, shard, before)
-		wanted := placement.Wanted(domain, shard, current, after, c.after.Deployment.Replicas)
+		wanted := placement.DesiredMembers(domain, shard, current, after, c.after.Deployment.Replicas)
 		moved += newMembers(current, wanted)
 	}
 	if moved == 0 {
 		return
 	}
-	programs := c.input.Use.ofDomain(domain.Name)
+	programs := c.input.Usage.ofDomain(domain.Name)
 	c.cause(Consequence{
-		Kind:     Move,
+		Kind:     MoveReplicas,
 		Object:   objectName("Domain", domain.Name),
 		Count:    moved,
 		Programs: programs,
@@ -102,21 +102,21 @@
 		return members
 	}
 	var ids []structs.NodeID
-	for _, node := range placement.Replicas(domain, shard, nodes, c.before.Deployment.Replicas) {
+	for _, node := range placement.SelectReplicas(domain, shard, nodes, c.before.Deployment.Replicas) {
 		ids = append(ids, node.ID)
 	}
 	return ids
 }
 
-// nodesUnder is OpenNodes with the zones looked up already.
+// nodesUnder is ApplyZoneDraining with the zones looked up already.
 func (c *comparison) nodesUnder(zones index) []structs.Node {
 	return openNodes(zones, c.input.Nodes)
 }
 
-// OpenNodes returns the daemons, with those as leaving that stand in a zone
+// ApplyZoneDraining returns the daemons, with those as leaving that stand in a zone
 // that drains or isn't declared. Daemons choose replicas from this view, so
 // that what a plan says of moves is what happens.
-func OpenNodes(declarations structs.Declarations, nodes []structs.Node) []structs.Node {
+func ApplyZoneDraining(declarations structs.Declarations, nodes []structs.Node) []structs.Node {
 	zones := byName(declarations.Zones, func(z structs.Zone) structs.ZoneName { return z.Name })
 	return openNodes(index{zones: zones}, nodes)
 }
@@ -142,7 +142,7 @@
 		return
 	}
 	c.cause(Consequence{
-		Kind:   LackCapacity,
+		Kind:   InsufficientCapacity,
 		Object: objectName("Domain", domain.Name),
 		Count:  wanted - found,
 		Detail: fmt.Sprintf("%d replicas wanted, daemons in %s: %d", wanted, zoneText(c.new.openZones(domain.Zones)), found),
@@ -156,7 +156,7 @@
 		return
 	}
 	c.cause(Consequence{
-		Kind:   Touch,
+		Kind:   ChangeSettings,
 		Object: objectName("Deployment", c.after.Deployment.Name),
 		Count:  after,
 		Detail: fmt.Sprintf("groups that exist keep %d replicas; those of new domains have %d", before, after),
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -24,14 +24,14 @@
 
 // Input is everything that a plan is made from.
 type Input struct {
-	// InForce is the configuration in force; nil before the first one.
-	InForce *structs.Configuration
-	// Wanted are the declarations, checked by package declaration.
-	Wanted structs.Declarations
+	// Active is the configuration in force; nil before the first one.
+	Active *structs.Configuration
+	// Desired are the declarations, checked by package declaration.
+	Desired structs.Declarations
 	// Operator is who asks.
 	Operator string
-	// Use counts the programs under way.
-	Use Use
+	// Usage counts the programs under way.
+	Usage Usage
 	// Nodes are the daemons now known; empty where the view isn't known.
 	Nodes []structs.Node
 	// Members are the present members of replica groups, as far as known.
@@ -45,7 +45,7 @@
 // Plan is a change that waits for its confirmation.
 type Plan struct {
 	// ID is derived from base, operator and declarations: asking for the same
-	// change again gives the same plan. It carries the base (see BaseOf).
+	// change again gives the same plan. It carries the base (see BaseVersionOf).
 	ID string `json:"id"`
 	// BaseVersion is the version in force that the plan was made from.
 	BaseVersion  uint64               `json:"baseVersion"`
@@ -59,21 +59,21 @@
 	Domains      []structs.Domain     `json:"domains"`
 }
 
-// Make works out the plan. The same input always gives the same plan.
-func Make(input Input) *Plan {
+// New works out the plan. The same input always gives the same plan.
+func New(input Input) *Plan {
 	inForce := structs.Configuration{}
-	if input.InForce != nil {
-		inForce = *input.InForce
+	if input.Active != nil {
+		inForce = *input.Active
 	}
 	run := &comparison{
 		input:  input,
 		before: inForce.Declarations,
-		after:  input.Wanted,
+		after:  input.Desired,
 		old:    indexOf(inForce.Declarations),
-		new:    indexOf(input.Wanted),
+		new:    indexOf(input.Desired),
 		held:   inForce.Domains,
 	}
-	run.domains = placement.Domains(input.Wanted, inForce.Domains)
+	run.domains = placement.ExtendDomains(input.Desired, inForce.Domains)
 	run.models()
 	run.places()
 	run.programs()
@@ -82,19 +82,19 @@
 		BaseVersion:  inForce.Version,
 		Operator:     input.Operator,
 		CreatedAt:    input.Now,
-		Differences:  Differences(inForce.Declarations, input.Wanted),
+		Differences:  Differences(inForce.Declarations, input.Desired),
 		Consequences: run.consequences,
 		Harms:        run.harms,
-		Declarations: input.Wanted,
+		Declarations: input.Desired,
 		Domains:      run.domains,
 	}
 }
 
-// Empty reports whether the plan changes nothing.
-func (p *Plan) Empty() bool { return len(p.Differences) == 0 }
+// IsEmpty reports whether the plan changes nothing.
+func (p *Plan) IsEmpty() bool { return len(p.Differences) == 0 }
 
-// Unaccepted returns the harms whose names are not among those accepted.
-func (p *Plan) Unaccepted(accepted []string) []Harm {
+// UnacceptedHarms returns the harms whose names are not among those accepted.
+func (p *Plan) UnacceptedHarms(accepted []string) []Harm {
 	named := map[string]bool{}
 	for _, name := range accepted {
 		named[name] = true
@@ -118,7 +118,7 @@
 func identifier(base uint64, input Input) string {
 	// The declarations hold nothing that JSON can't carry: numbers, texts and
 	// maps by name, which are written in the order of their keys.
-	content, err := json.Marshal(identity{base, input.Operator, input.Wanted})
+	content, err := json.Marshal(identity{base, input.Operator, input.Desired})
 	if err != nil {
 		content = []byte(err.Error())
 	}
@@ -126,9 +126,9 @@
 	return fmt.Sprintf("plan-%d-%s", base, hex.EncodeToString(sum[:])[:idHexDigits])
 }
 
-// BaseOf returns the base version that a plan's identifier carries, and whether
+// BaseVersionOf returns the base version that a plan's identifier carries, and whether
 // the identifier is well formed.
-func BaseOf(id string) (uint64, bool) {
+func BaseVersionOf(id string) (uint64, bool) {
 	parts := strings.Split(id, "-")
 	if len(parts) != idParts || parts[0] != "plan" || len(parts[2]) != idHexDigits {
 		return 0, false
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -33,7 +33,7 @@
 }
 
 func inForce(declarations structs.Declarations) *structs.Configuration {
-	return &structs.Configuration{Version: 7, Declarations: declarations, Domains: placement.Domains(declarations, nil)}
+	return &structs.Configuration{Version: 7, Declarations: declarations, Domains: placement.ExtendDomains(declarations, nil)}
 }
 
 // daemons returns three daemons in each zone.
@@ -49,11 +49,11 @@
 }
 
 // voltkaiUse has programs under way in each domain.
-func voltkaiUse() Use {
-	return Use{Known: true, Counts: []ProgramCount{
-		{Program: "door-session", Tenant: "riders", Domain: "changhua+taichung-1+taichung-2", UnderWay: 40},
-		{Program: "refund", Tenant: "riders", Domain: "changhua+taichung-1+taichung-2", UnderWay: 2},
-		{Program: "overnight-rebalance", Tenant: "dispatchers", Domain: "changhua+nantou+taichung-1+taichung-2", UnderWay: 1},
+func voltkaiUse() Usage {
+	return Usage{Complete: true, Counts: []ProgramCount{
+		{Program: "door-session", Tenant: "riders", Domain: "changhua+taichung-1+taichung-2", Running: 40},
+		{Program: "refund", Tenant: "riders", Domain: "changhua+taichung-1+taichung-2", Running: 2},
+		{Program: "overnight-rebalance", Tenant: "dispatchers", Domain: "changhua+nantou+taichung-1+taichung-2", Running: 1},
 	}}
 }
 
@@ -82,53 +82,53 @@
 	return counts
 }
 
-func TestFirstPlanLoadsEverythingAndHarmsNobody(t *testing.T) {
+func TestFirstPlanLoadsAllModelsWithoutHarm(t *testing.T) {
 	wanted := load(t, "voltkai")
-	made := Make(Input{Wanted: wanted, Operator: "lin", Nodes: daemons(wanted), Now: now})
+	made := New(Input{Desired: wanted, Operator: "lin", Nodes: daemons(wanted), Now: now})
 	require.Empty(t, made.Harms)
 	require.Zero(t, made.BaseVersion)
 	require.Len(t, made.Domains, 2)
 	total := made.Consequences[len(made.Consequences)-1]
-	require.Equal(t, Load, total.Kind)
+	require.Equal(t, LoadWeights, total.Kind)
 	require.EqualValues(t, 10*16_000_000_000, total.Bytes)
 	require.EqualValues(t, 160_000, total.Milliseconds)
 }
 
-// TestHarmsHaveNames also holds that a harm comes with the consequence of
+// TestHarms also holds that a harm comes with the consequence of
 // sideKind (with none where that is empty), that nobody under way means no harm
 // and that an unknown count means harm.
-func TestHarmsHaveNames(t *testing.T) {
+func TestHarms(t *testing.T) {
 	cases := []struct {
 		name     string
 		edit     func(d *structs.Declarations)
 		harms    map[string]int
 		sideKind ConsequenceKind
 	}{
-		{"program removed", func(d *structs.Declarations) { d.Programs = d.Programs[1:] }, map[string]int{"cut-off-program-door-session": 40}, Refuse},
+		{"program removed", func(d *structs.Declarations) { d.Programs = d.Programs[1:] }, map[string]int{"cut-off-program-door-session": 40}, RejectRequests},
 		{"tool moves away", func(d *structs.Declarations) { d.Tools[4].Zone = "nantou" }, map[string]int{"cut-off-program-refund": 2}, ""},
 		{"tool taken away", func(d *structs.Declarations) { program(d, "door-session").Tools = []structs.ToolName{"cabinet-status"} },
-			map[string]int{"cut-off-program-door-session": 40}, Refuse},
+			map[string]int{"cut-off-program-door-session": 40}, RejectRequests},
 		{"every token replaced", func(d *structs.Declarations) { d.Tenants[1].TokenSHA256 = d.Tenants[0].TokenSHA256 },
-			map[string]int{"cut-off-tenant-riders": 42}, Refuse},
+			map[string]int{"cut-off-tenant-riders": 42}, RejectRequests},
 		{"history narrowed", func(d *structs.Declarations) {
 			program(d, "overnight-rebalance").HistoryZones = []structs.ZoneName{"nantou"}
-		}, map[string]int{"strand-program-overnight-rebalance": 1}, LackCapacity},
+		}, map[string]int{"strand-program-overnight-rebalance": 1}, InsufficientCapacity},
 		{"cache narrowed", func(d *structs.Declarations) {
 			program(d, "door-session").CacheZones = []structs.ZoneName{"nantou"}
 		}, map[string]int{"strand-program-door-session": 40}, ""},
 		{"all zones of a domain drain", func(d *structs.Declarations) { closeZones(d, "taichung-1", "taichung-2", "changhua") },
-			map[string]int{"strand-domain-changhua+taichung-1+taichung-2": 42, "cut-off-program-refund": 2}, Drain},
+			map[string]int{"strand-domain-changhua+taichung-1+taichung-2": 42, "cut-off-program-refund": 2}, DrainEngines},
 	}
 	base := load(t, "voltkai")
 	for _, each := range cases {
 		t.Run(each.name, func(t *testing.T) {
 			wanted := clone(t, base)
 			each.edit(&wanted)
-			input := Input{InForce: inForce(base), Wanted: wanted, Use: voltkaiUse(), Nodes: daemons(base)[9:], Now: now}
-			if each.sideKind == Drain {
+			input := Input{Active: inForce(base), Desired: wanted, Usage: voltkaiUse(), Nodes: daemons(base)[9:], Now: now}
+			if each.sideKind == DrainEngines {
 				input.Nodes = daemons(base)
 			}
-			made := Make(input)
+			made := New(input)
 			found := map[string]int{}
 			for _, harm := range made.Harms {
 				found[harm.Name] = harm.Programs
@@ -136,53 +136,53 @@
 			require.Equal(t, each.harms, found)
 			require.Equal(t, each.sideKind == "", len(made.Consequences) == 0)
 			require.Equal(t, each.sideKind == "", kinds(made)[each.sideKind] == 0)
-			require.Len(t, made.Unaccepted(nil), len(each.harms))
+			require.Len(t, made.UnacceptedHarms(nil), len(each.harms))
 
-			input.Use = Use{Known: true}
-			require.Empty(t, Make(input).Harms)
-			input.Use = Use{}
-			unknown := Make(input).Harms
+			input.Usage = Usage{Complete: true}
+			require.Empty(t, New(input).Harms)
+			input.Usage = Usage{}
+			unknown := New(input).Harms
 			require.NotEmpty(t, unknown)
 			for _, harm := range unknown {
-				require.Equal(t, Unknown, harm.Programs)
+				require.Equal(t, UnknownCount, harm.Programs)
 			}
 		})
 	}
 }
 
-// TestTermsOfProgramsUnderWay: these keep what they were opened with, so other
+// TestChangedSettingsDoNotHarmRunningPrograms: these keep what they were opened with, so other
 // terms and a lost grant to open harm nobody.
-func TestTermsOfProgramsUnderWay(t *testing.T) {
+func TestChangedSettingsDoNotHarmRunningPrograms(t *testing.T) {
 	base := load(t, "voltkai")
 	wanted := clone(t, base)
 	door := program(&wanted, "door-session")
 	door.Budget.Turns, door.MaxAnswerTokens, door.Tenants = 1, 1, []structs.TenantID{"dispatchers"}
-	made := Make(Input{InForce: inForce(base), Wanted: wanted, Use: voltkaiUse(), Now: now})
+	made := New(Input{Active: inForce(base), Desired: wanted, Usage: voltkaiUse(), Now: now})
 	require.Empty(t, made.Harms)
 	touched := map[ConsequenceKind]int{}
 	for _, consequence := range made.Consequences {
 		touched[consequence.Kind] += consequence.Programs
 	}
-	require.Equal(t, map[ConsequenceKind]int{Refuse: 40, Touch: 40}, touched)
+	require.Equal(t, map[ConsequenceKind]int{RejectRequests: 40, ChangeSettings: 40}, touched)
 }
 
-func TestUnacceptedNamesWhatTheConfirmationLeavesOut(t *testing.T) {
+func TestUnacceptedHarms(t *testing.T) {
 	p := Plan{Harms: []Harm{{Name: "a"}, {Name: "b"}}}
-	require.Equal(t, []Harm{{Name: "b"}}, p.Unaccepted([]string{"a", "c"}))
-	require.Empty(t, p.Unaccepted([]string{"b", "a"}))
+	require.Equal(t, []Harm{{Name: "b"}}, p.UnacceptedHarms([]string{"a", "c"}))
+	require.Empty(t, p.UnacceptedHarms([]string{"b", "a"}))
 }
 
-func TestOneZoneDrainsWithoutHarmAndMovesItsReplicas(t *testing.T) {
+func TestDrainingOneZoneMovesReplicasWithoutHarm(t *testing.T) {
 	base := load(t, "voltkai")
 	wanted := clone(t, base)
 	closeZones(&wanted, "changhua")
 	nodes := daemons(base)
-	made := Make(Input{InForce: inForce(base), Wanted: wanted, Use: voltkaiUse(), Nodes: nodes, Now: now})
+	made := New(Input{Active: inForce(base), Desired: wanted, Usage: voltkaiUse(), Nodes: nodes, Now: now})
 	require.Empty(t, made.Harms)
 	expected := map[string]int{}
-	for _, domain := range placement.Domains(base, nil) {
+	for _, domain := range placement.ExtendDomains(base, nil) {
 		for shard := domain.FirstShard; shard < domain.FirstShard+structs.ShardID(domain.ShardCount); shard++ {
-			for _, member := range placement.Replicas(domain, shard, nodes, 3) {
+			for _, member := range placement.SelectReplicas(domain, shard, nodes, 3) {
 				if member.Zone == "changhua" {
 					expected[objectName("Domain", domain.Name)]++
 				}
@@ -191,7 +191,7 @@
 	}
 	moved := map[string]int{}
 	for _, consequence := range made.Consequences {
-		if consequence.Kind == Move {
+		if consequence.Kind == MoveReplicas {
 			moved[consequence.Object] = consequence.Count
 		}
 	}
@@ -199,34 +199,34 @@
 	require.Positive(t, expected["Domain/changhua+taichung-1+taichung-2"])
 }
 
-func TestNewVersionDrainsReloadsAndTellsTheTime(t *testing.T) {
+func TestNewModelVersionDrainsAndReloadsEngines(t *testing.T) {
 	base := load(t, "hofbauer")
 	wanted := clone(t, base)
 	wanted.Models[0].Version = "6"
 	wanted.Models[0].ReplicasPerZone["baumgarten"] = 1
-	made := Make(Input{InForce: inForce(base), Wanted: wanted, Use: Use{Known: true}, Now: now})
-	require.Equal(t, map[ConsequenceKind]int{Drain: 3, Load: 4, Unload: 1}, kinds(made))
+	made := New(Input{Active: inForce(base), Desired: wanted, Usage: Usage{Complete: true}, Now: now})
+	require.Equal(t, map[ConsequenceKind]int{DrainEngines: 3, LoadWeights: 4, UnloadWeights: 1}, kinds(made))
 	total := made.Consequences[len(made.Consequences)-1]
 	require.EqualValues(t, 9*28_000, total.Milliseconds)
 	require.Empty(t, made.Harms)
 }
 
-func TestEnginesThatDoNotReportAreLackingCapacity(t *testing.T) {
+func TestMissingEngineReportsAreInsufficientCapacity(t *testing.T) {
 	base := load(t, "hofbauer")
 	engines := []structs.EngineStatus{{ID: "a", Zone: "vienna-1"}, {ID: "b", Zone: "vienna-1", Leaving: true}}
-	made := Make(Input{InForce: inForce(base), Wanted: base, Engines: engines, Use: Use{Known: true}, Now: now})
-	require.True(t, made.Empty())
+	made := New(Input{Active: inForce(base), Desired: base, Engines: engines, Usage: Usage{Complete: true}, Now: now})
+	require.True(t, made.IsEmpty())
 	lacking := map[structs.ZoneName]int{}
 	for _, consequence := range made.Consequences {
-		require.Equal(t, LackCapacity, consequence.Kind)
+		require.Equal(t, InsufficientCapacity, consequence.Kind)
 		lacking[consequence.Zone] = consequence.Count
 	}
 	require.Equal(t, map[structs.ZoneName]int{"vienna-1": 3, "vienna-2": 4, "baumgarten": 2}, lacking)
 }
 
-// TestDifferencesAreEmptyExactlyForEqualDeclarations edits declarations at
+// TestDifferencesAreEmptyOnlyForEqualDeclarations edits declarations at
 // random and compares with reflection, which knows nothing of JSON paths.
-func TestDifferencesAreEmptyExactlyForEqualDeclarations(t *testing.T) {
+func TestDifferencesAreEmptyOnlyForEqualDeclarations(t *testing.T) {
 	base := load(t, "voltkai")
 	rapid.Check(t, func(t *rapid.T) {
 		wanted := clone(t, base)
@@ -238,9 +238,9 @@
 		for _, difference := range differences {
 			require.False(t, difference.Change == structs.ChangeChanged && difference.Before == difference.After)
 		}
-		one := Make(Input{InForce: inForce(base), Wanted: wanted, Operator: "lin", Now: now})
-		again := Make(Input{InForce: inForce(base), Wanted: clone(t, wanted), Operator: "lin", Now: now.Add(time.Hour)})
-		other := Make(Input{InForce: inForce(base), Wanted: wanted, Operator: "wu", Now: now})
+		one := New(Input{Active: inForce(base), Desired: wanted, Operator: "lin", Now: now})
+		again := New(Input{Active: inForce(base), Desired: clone(t, wanted), Operator: "lin", Now: now.Add(time.Hour)})
+		other := New(Input{Active: inForce(base), Desired: wanted, Operator: "wu", Now: now})
 		require.Equal(t, one.ID, again.ID)
 		require.NotEqual(t, one.ID, other.ID)
 	})
--- a/internal/plan/programs.go
+++ b/internal/plan/programs.go
@@ -41,10 +41,10 @@
 		}
 		lost = "none of its present tokens stays accepted"
 	}
-	programs := c.input.Use.ofTenant(tenant.Name)
+	programs := c.input.Usage.ofTenant(tenant.Name)
 	object := objectName("Tenant", tenant.Name)
 	c.cause(Consequence{
-		Kind:     Refuse,
+		Kind:     RejectRequests,
 		Object:   object,
 		Programs: programs,
 		Detail:   lost + ": its requests would be refused as unauthenticated",
@@ -59,9 +59,9 @@
 }
 
 func (c *comparison) removedProgram(program structs.AgentProgram) {
-	programs := c.input.Use.ofProgram(program.Name)
+	programs := c.input.Usage.ofProgram(program.Name)
 	c.cause(Consequence{
-		Kind:     Refuse,
+		Kind:     RejectRequests,
 		Object:   objectName("AgentProgram", program.Name),
 		Programs: programs,
 		Detail:   "opening it would be refused as not permitted",
@@ -86,9 +86,9 @@
 		if slices.Contains(wanted.Tenants, tenant) {
 			continue
 		}
-		programs := c.input.Use.ofPair(earlier.Name, tenant)
+		programs := c.input.Usage.ofPair(earlier.Name, tenant)
 		c.cause(Consequence{
-			Kind:     Refuse,
+			Kind:     RejectRequests,
 			Object:   objectName("AgentProgram", earlier.Name),
 			Programs: programs,
 			Detail:   fmt.Sprintf("tenant %s may open it no more, also as a sub-agent; %s go on", tenant, countText(programs)),
@@ -97,7 +97,7 @@
 }
 
 func (c *comparison) programTargets(earlier, wanted structs.AgentProgram) {
-	programs := c.input.Use.ofProgram(earlier.Name)
+	programs := c.input.Usage.ofProgram(earlier.Name)
 	for _, model := range earlier.Models {
 		if !slices.Contains(wanted.Models, model) {
 			c.lostTarget(earlier.Name, "model "+string(model), programs)
@@ -112,7 +112,7 @@
 
 func (c *comparison) lostTarget(program structs.ProgramName, target string, programs int) {
 	c.cause(Consequence{
-		Kind:     Refuse,
+		Kind:     RejectRequests,
 		Object:   objectName("AgentProgram", program),
 		Programs: programs,
 		Detail:   fmt.Sprintf("its calls of %s would be refused as not permitted", target),
@@ -123,7 +123,7 @@
 // programPlaces names data that stays where it may no longer rest: a program
 // keeps the zones that it was opened with until it ends.
 func (c *comparison) programPlaces(earlier, wanted structs.AgentProgram) {
-	programs := c.input.Use.ofProgram(earlier.Name)
+	programs := c.input.Usage.ofProgram(earlier.Name)
 	c.strand(earlier.Name, "history", without(earlier.HistoryZones, wanted.HistoryZones), programs)
 	c.strand(earlier.Name, "cache", without(earlier.CacheZones, wanted.CacheZones), programs)
 }
@@ -147,13 +147,13 @@
 	object := objectName("AgentProgram", earlier.Name)
 	if earlier.Budget != wanted.Budget || earlier.Priority != wanted.Priority ||
 		earlier.DeadlineMilliseconds != wanted.DeadlineMilliseconds || earlier.IdleMilliseconds != wanted.IdleMilliseconds {
-		c.cause(Consequence{Kind: Touch, Object: object,
+		c.cause(Consequence{Kind: ChangeSettings, Object: object,
 			Detail: "budget, deadline, idle time and priority hold for programs opened from now on; those under way keep theirs"})
 	}
-	programs := c.input.Use.ofProgram(earlier.Name)
+	programs := c.input.Usage.ofProgram(earlier.Name)
 	if earlier.MaxAnswerTokens != wanted.MaxAnswerTokens && programs != 0 {
 		c.cause(Consequence{
-			Kind:     Touch,
+			Kind:     ChangeSettings,
 			Object:   object,
 			Programs: programs,
 			Detail:   fmt.Sprintf("answers to further calls of %s are bounded by %d tokens", countText(programs), wanted.MaxAnswerTokens),
@@ -167,18 +167,18 @@
 func (c *comparison) unserved(program structs.AgentProgram) {
 	object := objectName("AgentProgram", program.Name)
 	if len(c.new.openZones(program.HistoryZones)) == 0 {
-		c.cause(Consequence{Kind: Refuse, Object: object, Detail: "opening it would be refused: all its history zones drain"})
+		c.cause(Consequence{Kind: RejectRequests, Object: object, Detail: "opening it would be refused: all its history zones drain"})
 	}
 	for _, model := range program.Models {
 		if !c.new.serves(model, program.CacheZones) {
-			c.cause(Consequence{Kind: Refuse, Object: object,
+			c.cause(Consequence{Kind: RejectRequests, Object: object,
 				Detail: fmt.Sprintf("calls of model %s by programs opened from now on would be refused: no open zone may hold their cache", model)})
 		}
 	}
 	earlier := c.old.programs[program.Name]
 	for _, model := range earlier.Models {
 		if c.old.serves(model, earlier.CacheZones) && !c.new.serves(model, earlier.CacheZones) {
-			c.cutOff(program.Name, c.input.Use.ofProgram(program.Name),
+			c.cutOff(program.Name, c.input.Usage.ofProgram(program.Name),
 				fmt.Sprintf("no engine serves model %s in an open zone among those that they were opened with", model))
 		}
 	}
@@ -203,16 +203,16 @@
 	}
 	object := objectName("Tool", tool.Name)
 	if wanted.Address != tool.Address {
-		c.cause(Consequence{Kind: Touch, Object: object, Detail: "calls dispatched from now on go to " + wanted.Address})
+		c.cause(Consequence{Kind: ChangeSettings, Object: object, Detail: "calls dispatched from now on go to " + wanted.Address})
 	}
 	if tool.Repeatable != wanted.Repeatable {
-		c.cause(Consequence{Kind: Touch, Object: object,
+		c.cause(Consequence{Kind: ChangeSettings, Object: object,
 			Detail: fmt.Sprintf("calls accepted from now on count as repeatable: %t", wanted.Repeatable)})
 	}
 	for _, program := range c.before.Programs {
 		policy := placement.Policy{HistoryZones: program.HistoryZones, CacheZones: program.CacheZones}
-		if slices.Contains(program.Tools, tool.Name) && placement.Permit(policy, placement.ToolArguments, wanted.Zone) != nil {
-			c.cutOff(program.Name, c.input.Use.ofProgram(program.Name),
+		if slices.Contains(program.Tools, tool.Name) && placement.Check(policy, placement.ToolArguments, wanted.Zone) != nil {
+			c.cutOff(program.Name, c.input.Usage.ofProgram(program.Name),
 				fmt.Sprintf("tool %s moves to %s, where their data may not go", tool.Name, wanted.Zone))
 		}
 	}
--- a/internal/plan/use.go
+++ b/internal/plan/use.go
@@ -2,9 +2,9 @@
 
 import "github.com/barleyshelf/barleyshelf/internal/structs"
 
-// Unknown is the number of programs where no count could be had. It is treated
+// UnknownCount is the number of programs where no count could be had. It is treated
 // as harm: only a count of zero proves that nobody is cut off.
-const Unknown = -1
+const UnknownCount = -1
 
 // ProgramCount is a number of programs under way that share their declaration,
 // their tenant and their placement domain.
@@ -12,44 +12,44 @@
 	Program structs.ProgramName `json:"program"`
 	Tenant  structs.TenantID    `json:"tenant"`
 	Domain  string              `json:"domain"`
-	// UnderWay counts programs that were opened and have not ended.
-	UnderWay int `json:"underWay"`
+	// Running counts programs that were opened and have not ended.
+	Running int `json:"underWay"`
 }
 
-// Use counts the programs under way over the whole deployment. It is a sum of
+// Usage counts the programs under way over the whole deployment. It is a sum of
 // what the leaders of shards reported, and late by as much.
-type Use struct {
-	// Known is false where some shard's count is missing.
-	Known  bool           `json:"known"`
-	Counts []ProgramCount `json:"counts"`
+type Usage struct {
+	// Complete is false where some shard's count is missing.
+	Complete bool           `json:"known"`
+	Counts   []ProgramCount `json:"counts"`
 }
 
 // count sums what matches; without a full count, zero is not proved.
-func (u Use) count(matches func(ProgramCount) bool) int {
+func (u Usage) count(matches func(ProgramCount) bool) int {
 	total := 0
 	for _, one := range u.Counts {
 		if matches(one) {
-			total += one.UnderWay
+			total += one.Running
 		}
 	}
-	if total == 0 && !u.Known {
-		return Unknown
+	if total == 0 && !u.Complete {
+		return UnknownCount
 	}
 	return total
 }
 
-func (u Use) ofProgram(name structs.ProgramName) int {
+func (u Usage) ofProgram(name structs.ProgramName) int {
 	return u.count(func(c ProgramCount) bool { return c.Program == name })
 }
 
-func (u Use) ofTenant(name structs.TenantID) int {
+func (u Usage) ofTenant(name structs.TenantID) int {
 	return u.count(func(c ProgramCount) bool { return c.Tenant == name })
 }
 
-func (u Use) ofDomain(name string) int {
+func (u Usage) ofDomain(name string) int {
 	return u.count(func(c ProgramCount) bool { return c.Domain == name })
 }
 
-func (u Use) ofPair(program structs.ProgramName, tenant structs.TenantID) int {
+func (u Usage) ofPair(program structs.ProgramName, tenant structs.TenantID) int {
 	return u.count(func(c ProgramCount) bool { return c.Program == program && c.Tenant == tenant })
 }
--- a/internal/program/apply_call.go
+++ b/internal/program/apply_call.go
@@ -87,7 +87,7 @@
 	if issued == nil {
 		return false
 	}
-	p.settle(issued, Unknown, p.reserved)
+	p.settle(issued, OutcomeUnknown, p.reserved)
 	issued.failureType = failureOutcomeUnknown
 	issued.failureDetail = unknown.GetDetail()
 	p.touch(at)
--- a/internal/program/bench_test.go
+++ b/internal/program/bench_test.go
@@ -56,7 +56,7 @@
 func (d *driver) open(key string) structs.ProgramID {
 	id := structs.NewProgramID(testDomain, testTenant, key)
 	huge := structs.Amount{Tokens: 1 << 50, CostMicros: 1 << 50, Turns: 1 << 50, Milliseconds: 1 << 50}
-	d.commit(d.machine.Open(testStart, OpenRequest{ID: id, Tenant: testTenant, Budget: huge, Idle: 1e5 * time.Hour}))
+	d.commit(d.machine.Open(testStart, OpenRequest{ID: id, Tenant: testTenant, Budget: huge, IdleTimeout: 1e5 * time.Hour}))
 	return id
 }
 
@@ -66,7 +66,7 @@
 	request.Input = input
 	d.commit(d.machine.Accept(testStart, request))
 	d.commit(d.machine.Start(testStart, StartRequest{Program: id, Number: number, TargetID: "e", TargetIncarnation: 1,
-		DispatchKey: fmt.Sprint(number), Reserve: testReserve(), Hold: true}))
+		DispatchKey: fmt.Sprint(number), Reserve: testReserve(), MayCache: true}))
 	d.commit(d.machine.Finish(testStart, FinishRequest{Program: id, Number: number, Attempt: 1, Answer: answer, Spent: testReserve()}))
 }
 
@@ -143,21 +143,21 @@
 	}
 }
 
-// BenchmarkPackedHistory measures the part of it that needs the machine.
-func BenchmarkPackedHistory(b *testing.B) {
+// BenchmarkEncodedHistory measures the part of it that needs the machine.
+func BenchmarkEncodedHistory(b *testing.B) {
 	d := &driver{machine: NewMachine(testShard)}
 	id := d.open("k")
 	d.fill(id, 840_000)
 	for b.Loop() {
-		if _, err := d.machine.PackedHistory(id); err != nil {
+		if _, err := d.machine.EncodedHistory(id); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkDuties measures a look at the duties of a shard where ten programs
+// BenchmarkDueTasks measures a look at the duties of a shard where ten programs
 // become due, beside so many that are not.
-func BenchmarkDuties(b *testing.B) {
+func BenchmarkDueTasks(b *testing.B) {
 	for _, programs := range []int{333, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("programs=%d", programs), func(b *testing.B) {
 			d := &driver{machine: NewMachine(testShard)}
@@ -172,7 +172,7 @@
 			now := testStart
 			for b.Loop() {
 				now = now.Add(offerInterval)
-				if duties := d.machine.Duties(now); len(duties) != 10 {
+				if duties := d.machine.DueTasks(now); len(duties) != 10 {
 					b.Fatalf("%d duties", len(duties))
 				}
 			}
--- a/internal/program/decide.go
+++ b/internal/program/decide.go
@@ -60,7 +60,7 @@
 	if r.Budget.Negative() {
 		return &failure.Malformed{Field: "budget", Reason: "no member below 0"}
 	}
-	if r.Idle < 0 {
+	if r.IdleTimeout < 0 {
 		return &failure.Malformed{Field: "idle", Reason: "0 or more"}
 	}
 	return nil
@@ -90,11 +90,11 @@
 func openedMessage(r OpenRequest) *programv1.ProgramOpened {
 	return &programv1.ProgramOpened{
 		Tenant:         string(r.Tenant),
-		ProgramName:    string(r.Program),
-		IdempotencyKey: r.Key,
+		ProgramName:    string(r.ProgramName),
+		IdempotencyKey: r.IdempotencyKey,
 		Budget:         amountMessage(r.Budget),
 		DeadlineUnixMs: unixMilliseconds(r.Deadline),
-		IdleMs:         r.Idle.Milliseconds(),
+		IdleMs:         r.IdleTimeout.Milliseconds(),
 		HistoryZones:   texts[string](r.HistoryZones),
 		CacheZones:     texts[string](r.CacheZones),
 		ParentId:       string(r.Parent),
@@ -141,10 +141,10 @@
 	return Decision{Records: []*programv1.Record{ended}}, nil
 }
 
-// Released records that an engine confirmed the release of a hold, or that its
+// RecordHoldReleased records that an engine confirmed the release of a hold, or that its
 // incarnation is gone. Errors: *failure.UnknownProgram, *failure.CallConflict
 // while a call under way uses the hold.
-func (m *Machine) Released(now time.Time, id structs.ProgramID, engine structs.EngineID, incarnation structs.Incarnation) (Decision, error) {
+func (m *Machine) RecordHoldReleased(now time.Time, id structs.ProgramID, engine structs.EngineID, incarnation structs.Incarnation) (Decision, error) {
 	found, err := m.findAny(id)
 	if err != nil {
 		return Decision{}, err
--- a/internal/program/decide_accept_start.go
+++ b/internal/program/decide_accept_start.go
@@ -6,9 +6,9 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// NextToStart reports whether a call of that number, were it accepted now, could
+// CanStartOnAccept reports whether a call of that number, were it accepted now, could
 // be started at once: all before it have ended.
-func (m *Machine) NextToStart(id structs.ProgramID, number structs.CallNumber) bool {
+func (m *Machine) CanStartOnAccept(id structs.ProgramID, number structs.CallNumber) bool {
 	found, exists := m.programs[id]
 	return exists && found.nextIs(number)
 }
--- a/internal/program/decide_accept_start_test.go
+++ b/internal/program/decide_accept_start_test.go
@@ -9,11 +9,11 @@
 )
 
 func startOf(key string) StartRequest {
-	return StartRequest{TargetID: string(testEngine), TargetIncarnation: 3, DispatchKey: key, Reserve: testReserve(), Hold: true}
+	return StartRequest{TargetID: string(testEngine), TargetIncarnation: 3, DispatchKey: key, Reserve: testReserve(), MayCache: true}
 }
 
 // One entry leads to the same state as the two that it takes the place of.
-func TestAcceptAndStartIsAcceptThenStart(t *testing.T) {
+func TestAcceptAndStartEqualsAcceptThenStart(t *testing.T) {
 	together, apart := newFixture(t), newFixture(t)
 	id := together.open("p")
 	require.Equal(t, id, apart.open("p"))
@@ -24,9 +24,9 @@
 	require.True(t, found)
 	two, _ := apart.machine.Call(id, 1)
 	require.Equal(t, two, one)
-	require.Equal(t, apart.machine.Engines(id), together.machine.Engines(id))
-	first, _ := together.machine.Lookup(id)
-	second, _ := apart.machine.Lookup(id)
+	require.Equal(t, apart.machine.ProgramHolds(id), together.machine.ProgramHolds(id))
+	first, _ := together.machine.StatusForAnyTenant(id)
+	second, _ := apart.machine.StatusForAnyTenant(id)
 	require.Equal(t, second, first)
 }
 
@@ -36,7 +36,7 @@
 	f := newFixture(t)
 	id := f.open("p")
 	f.commit(f.machine.AcceptAndStart(f.now, modelCall(id, 2), startOf("early")))
-	require.False(t, f.machine.NextToStart(id, 2))
+	require.False(t, f.machine.CanStartOnAccept(id, 2))
 	dear := startOf("dear")
 	dear.Reserve.Tokens = testBudget().Tokens + 1
 	f.commit(f.machine.AcceptAndStart(f.now, modelCall(id, 1), dear))
@@ -45,7 +45,7 @@
 		require.True(t, found)
 		require.Equal(t, Accepted, call.State)
 	}
-	require.Empty(t, f.machine.Engines(id))
+	require.Empty(t, f.machine.ProgramHolds(id))
 	decision, err := f.machine.AcceptAndStart(f.now, modelCall(id, 1), startOf("again"))
 	require.NoError(t, err)
 	require.True(t, decision.Repeat)
