--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -37,7 +37,7 @@
 	f.step(0)
 }
 
-func TestNoWindowHoldsMoreThanTheLimit(t *testing.T) {
+func TestAdmittedRequestsStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 5).Draw(t, "members"), rapid.IntRange(1, 6).Draw(t, "gateways"), drawLimit(t), usual, sound)
 		f.step(time.Duration(rapid.IntRange(0, 8000).Draw(t, "calm")) * time.Millisecond)
@@ -46,9 +46,9 @@
 	})
 }
 
-// TestALowerLimitBindsWithinAWindow lets some gateways hear of new limits late. One that
+// TestLoweredLimitTakesEffectWithinWindow lets some gateways hear of new limits late. One that
 // has not heard asks members that another one has told.
-func TestALowerLimitBindsWithinAWindow(t *testing.T) {
+func TestLoweredLimitTakesEffectWithinWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(3, rapid.IntRange(1, 4).Draw(t, "gateways"), drawLimit(t), usual, sound)
 		f.step(8 * time.Second)
@@ -57,7 +57,7 @@
 			each.limit = f.limit
 		}
 		f.greed(false)
-		f.step(Lifetime)
+		f.step(GrantLifetime)
 		f.letIn = nil
 		f.limits = []declaredLimit{{limit: f.limit, since: f.now}}
 		for range 100 {
@@ -75,7 +75,7 @@
 	f.step(time.Minute)
 	for range 20 {
 		f.grab()
-		f.step(Lifetime - time.Millisecond)
+		f.step(GrantLifetime - time.Millisecond)
 	}
 	for range 600 {
 		f.greed(false)
@@ -84,7 +84,7 @@
 	return f
 }
 
-func TestTheWorstScheduleOfGrantsStaysWithinTheLimit(t *testing.T) {
+func TestWorstCaseScheduleStaysWithinLimit(t *testing.T) {
 	for _, limit := range []Limit{{Rate: 1, Burst: 1}, {Rate: 5, Burst: 5}, {Rate: 40, Burst: 10}, {Rate: 390, Burst: 390}, {Rate: 3000, Burst: 0}} {
 		limit.Version = 1
 		for _, members := range []int{1, 3, 5} {
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestBreakagesAreSeen(t *testing.T) {
+func TestFaultsAreDetected(t *testing.T) {
 	limit := Limit{Rate: 40, Burst: 40, Version: 1}
 	for broken, name := range map[breakage]string{
 		grantCountedTwice: "a grant counted twice", grantNeverExpires: "a grant that never expires", partsNotShared: "parts that are not shared",
@@ -117,7 +117,7 @@
 	return f
 }
 
-func TestAKilledMemberSpendsNothingTwice(t *testing.T) {
+func TestRestartedMembersStayWithinLimit(t *testing.T) {
 	require.NoError(t, killedInTurn(sound).check(0))
 	require.Error(t, killedInTurn(bornFull).check(0), "a member that is born full is seen")
 }
@@ -128,7 +128,7 @@
 	f.step(time.Minute)
 	f.greed(false)
 	f.declare(Limit{Rate: 10, Burst: 10}, func(int) bool { return true })
-	f.step(usual.Window + Lifetime)
+	f.step(usual.Window + GrantLifetime)
 	for range 100 {
 		f.greed(false)
 		f.step(100 * time.Millisecond)
@@ -136,13 +136,13 @@
 	return f
 }
 
-func TestALoweredLimitBinds(t *testing.T) {
+func TestLoweredLimitTakesEffect(t *testing.T) {
 	require.NoError(t, lowered(sound).check(usual.Window))
 	require.Error(t, lowered(staleLimit).check(usual.Window), "a limit that is read stale is seen")
 }
 
-// TestWhatTheLimitAllowsIsLetIn plays a calm fleet below its limit: nothing is refused.
-func TestWhatTheLimitAllowsIsLetIn(t *testing.T) {
+// TestLoadBelowLimitIsNotRefused plays a calm fleet below its limit: nothing is refused.
+func TestLoadBelowLimitIsNotRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: float64(rapid.IntRange(2, 400).Draw(t, "rate")), Version: 1}
 		limit.Burst = limit.Rate
@@ -165,7 +165,7 @@
 	})
 }
 
-func TestTheLastPartIsKeptForProgramsUnderWay(t *testing.T) {
+func TestCapacityIsReservedForRunningPrograms(t *testing.T) {
 	f := newFleet(5, 1, Limit{Rate: 40, Burst: 40, Version: 1}, usual, sound)
 	f.step(time.Minute)
 	for range 40 {
@@ -179,35 +179,35 @@
 	require.InDelta(t, openingReserve, float64(kept)/float64(opened+kept), 0.1)
 }
 
-func TestAPassThatWasNotUsedIsThereAgain(t *testing.T) {
+func TestUnusedPermitCanBeTakenAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	allowance := &Allowance{}
-	allowance.Add(now, Grant{Requests: 1, Plenty: true})
+	allowance.AddGrant(now, Grant{Requests: 1, NewProgramsAllowed: true})
 	pass, found := allowance.Take(now, true)
 	require.True(t, found)
 	_, found = allowance.Take(now, false)
 	require.False(t, found)
-	allowance.Return(now, pass)
+	allowance.ReturnUnused(now, pass)
 	pass, found = allowance.Take(now, false)
 	require.True(t, found)
-	allowance.Return(now.Add(2*time.Second), pass)
+	allowance.ReturnUnused(now.Add(2*time.Second), pass)
 	_, found = allowance.Take(now.Add(2*time.Second), false)
 	require.False(t, found, "not beyond its lifetime")
 }
 
-func TestWhoAsksForMoreIsGrantedAhead(t *testing.T) {
+func TestRequestSizeFollowsRecentDemand(t *testing.T) {
 	now := time.Unix(1000, 0)
 	allowance := &Allowance{}
-	require.Equal(t, 1, allowance.Wanted(now, 1))
-	allowance.Add(now, Grant{Requests: 20})
+	require.Equal(t, 1, allowance.RequestSize(now, 1))
+	allowance.AddGrant(now, Grant{Requests: 20})
 	for range 20 {
 		allowance.Take(now, false)
 	}
-	require.Equal(t, 11, allowance.Wanted(now.Add(2*Lifetime), 1), "half of what was let in in two lifetimes")
-	require.Equal(t, 2, allowance.Wanted(now.Add(3*Lifetime), 2))
+	require.Equal(t, 11, allowance.RequestSize(now.Add(2*GrantLifetime), 1), "half of what was let in in two lifetimes")
+	require.Equal(t, 2, allowance.RequestSize(now.Add(3*GrantLifetime), 2))
 }
 
-func TestForgettingChangesNothing(t *testing.T) {
+func TestDropFullDoesNotChangeGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := drawLimit(t)
 		start := time.Unix(1000, 0)
@@ -215,8 +215,8 @@
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "asks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "pause")) * time.Millisecond)
-			swept.Forget(now)
-			ask := Ask{Tenant: tenant, Limit: limit, Members: 3, Since: start, Wanted: rapid.IntRange(1, 64).Draw(t, "wanted")}
+			swept.DropFull(now)
+			ask := GrantRequest{Tenant: tenant, Limit: limit, Members: 3, SeatSince: start, Wanted: rapid.IntRange(1, 64).Draw(t, "wanted")}
 			require.Equal(t, kept.Grant(now, ask), swept.Grant(now, ask))
 		}
 	})
--- a/internal/quota/terms.go
+++ b/internal/quota/terms.go
@@ -34,9 +34,9 @@
 	// usedTolerance is the part of the tolerance that grants may take up in calm times.
 	// The rest covers a seat that two members believe to hold for a moment.
 	usedTolerance = 0.9
-	// Lifetime is how long a gateway may use what it was granted, from when it asked: the
+	// GrantLifetime is how long a gateway may use what it was granted, from when it asked: the
 	// time in which an answer reaches it and a request that waits for it goes on.
-	Lifetime = 200 * time.Millisecond
+	GrantLifetime = 200 * time.Millisecond
 )
 
 // terms are what one member may grant of a limit.
@@ -59,6 +59,6 @@
 	}
 	allowed := limit.Rate*tolerance.Window.Seconds() + limit.Burst
 	rate := allowed / tolerance.Window.Seconds()
-	capacity := usedTolerance*(tolerance.Overshoot*allowed+tolerance.Slack) - rate*Lifetime.Seconds()
+	capacity := usedTolerance*(tolerance.Overshoot*allowed+tolerance.Slack) - rate*GrantLifetime.Seconds()
 	return terms{rate: rate / parts, capacity: max(1, capacity/parts)}
 }
--- a/internal/recordlog/commit.go
+++ b/internal/recordlog/commit.go
@@ -110,10 +110,10 @@
 }
 
 // places returns where the records lie if the frames begin at an offset.
-func (r *request) places(segment uint64, offset int64) []Place {
-	places := make([]Place, 0, len(r.lengths))
+func (r *request) places(segment uint64, offset int64) []Position {
+	places := make([]Position, 0, len(r.lengths))
 	for _, length := range r.lengths {
-		places = append(places, Place{Segment: segment, Offset: offset, Length: length})
+		places = append(places, Position{Segment: segment, Offset: offset, Length: length})
 		offset += int64(headerBytes + length)
 	}
 	return places
--- a/internal/recordlog/files.go
+++ b/internal/recordlog/files.go
@@ -22,8 +22,8 @@
 	Seek(offset int64, whence int) (int64, error)
 }
 
-// Files is the data folder. Tests replace it by a faulty one.
-type Files interface {
+// FileSystem is the data folder. Tests replace it by a faulty one.
+type FileSystem interface {
 	// List returns the names of all files.
 	List() ([]string, error)
 	// Read returns a whole file.
@@ -32,19 +32,19 @@
 	OpenReader(name string) (Reader, error)
 	// Create makes a new file and makes its name last.
 	Create(name string) (File, error)
-	// Open opens a file for appending at an offset, and cuts it there.
-	Open(name string, offset int64) (File, error)
+	// OpenAppend opens a file for appending at an offset, and cuts it there.
+	OpenAppend(name string, offset int64) (File, error)
 	// Remove removes a file.
 	Remove(name string) error
 }
 
-// Folder is a folder of the operating system.
-type Folder string
+// Directory is a folder of the operating system.
+type Directory string
 
 const filePermission = 0o600
 
 // List returns the names of all files.
-func (f Folder) List() ([]string, error) {
+func (f Directory) List() ([]string, error) {
 	entries, err := os.ReadDir(string(f))
 	if err != nil {
 		return nil, err
@@ -57,15 +57,17 @@
 }
 
 // Read returns a whole file.
-func (f Folder) Read(name string) ([]byte, error) { return os.ReadFile(filepath.Join(string(f), name)) }
+func (f Directory) Read(name string) ([]byte, error) {
+	return os.ReadFile(filepath.Join(string(f), name))
+}
 
 // OpenReader opens a file for reading.
-func (f Folder) OpenReader(name string) (Reader, error) {
+func (f Directory) OpenReader(name string) (Reader, error) {
 	return os.Open(filepath.Join(string(f), name))
 }
 
 // Create makes a new file and syncs the folder. Where that fails, no file stays.
-func (f Folder) Create(name string) (File, error) {
+func (f Directory) Create(name string) (File, error) {
 	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_CREATE|os.O_EXCL|os.O_RDWR, filePermission)
 	if err != nil {
 		return nil, err
@@ -77,8 +79,8 @@
 	return file, nil
 }
 
-// Open opens a file for appending at an offset, and cuts it there.
-func (f Folder) Open(name string, offset int64) (File, error) {
+// OpenAppend opens a file for appending at an offset, and cuts it there.
+func (f Directory) OpenAppend(name string, offset int64) (File, error) {
 	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_RDWR, filePermission)
 	if err != nil {
 		return nil, err
@@ -95,9 +97,9 @@
 }
 
 // Remove removes a file.
-func (f Folder) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
+func (f Directory) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
 
-func (f Folder) sync() error {
+func (f Directory) sync() error {
 	folder, err := os.Open(string(f))
 	if err != nil {
 		return err
--- a/internal/recordlog/log.go
+++ b/internal/recordlog/log.go
@@ -38,28 +38,28 @@
 // Retry forbids a repeat.
 func (e *Damaged) Retry() failure.Retry { return failure.Retry{} }
 
-// Behind reports a log whose disk has not taken earlier appends.
-type Behind struct {
+// WriteBacklog reports a log whose disk has not taken earlier appends.
+type WriteBacklog struct {
 	// Bytes are still to be written.
 	Bytes int64
 }
 
-func (e *Behind) Error() string {
+func (e *WriteBacklog) Error() string {
 	return fmt.Sprintf("%d bytes of earlier records are not on the disk yet", e.Bytes)
 }
 
 // Type returns "log_behind".
-func (e *Behind) Type() failure.Type { return "log_behind" }
+func (e *WriteBacklog) Type() failure.Type { return "log_behind" }
 
 // Outcome returns NotRun.
-func (e *Behind) Outcome() failure.Outcome { return failure.NotRun }
+func (e *WriteBacklog) Outcome() failure.Outcome { return failure.NotRun }
 
 // Retry allows another try.
-func (e *Behind) Retry() failure.Retry { return failure.Retry{Allowed: true} }
+func (e *WriteBacklog) Retry() failure.Retry { return failure.Retry{Allowed: true} }
 
 // Log is an open log. Its methods are safe for concurrent use.
 type Log struct {
-	files   Files
+	files   FileSystem
 	readers readers
 
 	mutex   sync.Mutex
@@ -96,13 +96,13 @@
 	// replaced is the segment that the frames replace; 0 is none.
 	replaced uint64
 	// placed is told where the records lie, once they are on the disk.
-	placed func([]Place)
+	placed func([]Position)
 	done   chan error
 }
 
-// Open reads the log and passes its records on, oldest first. take must not keep
+// OpenAppend reads the log and passes its records on, oldest first. take must not keep
 // a record; an error of its own ends the reading.
-func Open(files Files, take func(record []byte, at Place) error) (*Log, error) {
+func Open(files FileSystem, take func(record []byte, at Position) error) (*Log, error) {
 	numbers, err := segmentNumbers(files)
 	if err != nil {
 		return nil, err
@@ -138,7 +138,7 @@
 		}
 		l.readers.add(each.number, reader)
 	}
-	file, err := l.files.Open(segmentName(l.segments[last].number), l.segments[last].bytes)
+	file, err := l.files.OpenAppend(segmentName(l.segments[last].number), l.segments[last].bytes)
 	if err != nil {
 		return err
 	}
@@ -186,23 +186,23 @@
 // returns waits until they, and all earlier ones, are on the disk. placed, which
 // may be nil, is told where they lie before that; where the write fails, it is
 // told when a later one has taken them along.
-func (l *Log) Enqueue(placed func([]Place), records ...[]byte) (wait func() error) {
+func (l *Log) Enqueue(placed func([]Position), records ...[]byte) (wait func() error) {
 	return l.enqueue(&request{placed: placed}, records)
 }
 
-// Replace hands over records in place of a whole segment, which is removed once
+// ReplaceSegment hands over records in place of a whole segment, which is removed once
 // they are on the disk. A failed one is not made up for.
-func (l *Log) Replace(segment uint64, placed func([]Place), records ...[]byte) (wait func() error) {
+func (l *Log) ReplaceSegment(segment uint64, placed func([]Position), records ...[]byte) (wait func() error) {
 	return l.enqueue(&request{placed: placed, replaced: segment}, records)
 }
 
-// Owed returns the bytes of failed appends that are still to be written.
-func (l *Log) Owed() int64 { return l.owedBytes.Load() }
+// UnwrittenBytes returns the bytes of failed appends that are still to be written.
+func (l *Log) UnwrittenBytes() int64 { return l.owedBytes.Load() }
 
 // Read returns the record at a place. It fails with *Moved where the segment has
 // been replaced.
-func (l *Log) Read(at Place) ([]byte, error) {
-	records, err := l.readers.readSpan([]Place{at})
+func (l *Log) Read(at Position) ([]byte, error) {
+	records, err := l.readers.readSpan([]Position{at})
 	if err != nil {
 		return nil, err
 	}
@@ -212,13 +212,13 @@
 // ReadAll returns the records at places, with few reads where they lie close to
 // each other in the order given. It fails with *Moved where one of their segments
 // has been replaced.
-func (l *Log) ReadAll(places []Place) ([][]byte, error) { return l.readers.readAll(places) }
+func (l *Log) ReadAll(places []Position) ([][]byte, error) { return l.readers.readAll(places) }
 
 // Size returns the bytes that the log takes on the disk.
 func (l *Log) Size() int64 { return l.size.Load() }
 
-// Oldest returns the number of the oldest segment.
-func (l *Log) Oldest() uint64 { return l.oldest.Load() }
+// OldestSegment returns the number of the oldest segment.
+func (l *Log) OldestSegment() uint64 { return l.oldest.Load() }
 
 func (l *Log) enqueue(one *request, records [][]byte) (wait func() error) {
 	one.done = make(chan error, 1)
--- a/internal/recordlog/log_test.go
+++ b/internal/recordlog/log_test.go
@@ -17,9 +17,9 @@
 func record(n int) []byte { return fmt.Appendf(nil, "record-%d-%s", n, "some payload that is longer") }
 
 // open opens a log and returns copies of its records.
-func open(files recordlog.Files) (*recordlog.Log, [][]byte, error) {
+func open(files recordlog.FileSystem) (*recordlog.Log, [][]byte, error) {
 	var records [][]byte
-	log, err := recordlog.Open(files, func(record []byte, _ recordlog.Place) error {
+	log, err := recordlog.Open(files, func(record []byte, _ recordlog.Position) error {
 		records = append(records, append([]byte(nil), record...))
 		return nil
 	})
@@ -52,7 +52,7 @@
 		}
 		// What is still on its way when the power goes may be there or not.
 		wait := log.Enqueue(nil, record(100*round+99))
-		after := store.LosePower(random)
+		after := store.AfterPowerLoss(random)
 		_ = wait()
 		log.Close()
 		after.SkipSync = skipSync
@@ -61,14 +61,14 @@
 	return ""
 }
 
-func TestWhatWasAcknowledgedOutlivesLossesOfPower(t *testing.T) {
+func TestAcknowledgedRecordsSurvivePowerLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		require.Empty(t, survives(t, rapid.Uint64().Draw(t, "seed"), false))
 	})
 }
 
-// TestASkippedSyncIsSeen is a deliberate breakage: the proof must catch it.
-func TestASkippedSyncIsSeen(t *testing.T) {
+// TestSkippedSyncLosesAcknowledgedRecords is a deliberate breakage: the proof must catch it.
+func TestSkippedSyncLosesAcknowledgedRecords(t *testing.T) {
 	for seed := range uint64(50) {
 		if survives(t, seed, true) != "" {
 			return
@@ -77,13 +77,13 @@
 	t.Fatal("no lost record was noticed")
 }
 
-func TestATornEndIsCutAndAppendingGoesOn(t *testing.T) {
+func TestOpenTruncatesTornTailAndAppends(t *testing.T) {
 	store := recordlogtest.NewDisk()
 	log, _, err := open(store)
 	require.NoError(t, err)
 	require.NoError(t, log.Append(record(1), record(2)))
 	log.Close()
-	store.Add("0000000000000001.log", []byte{9, 0, 0, 0, 1, 2, 3})
+	store.AppendSynced("0000000000000001.log", []byte{9, 0, 0, 0, 1, 2, 3})
 	log, records, err := open(store)
 	require.NoError(t, err)
 	require.Len(t, records, 2)
@@ -94,30 +94,30 @@
 	require.Equal(t, [][]byte{record(1), record(2), record(3)}, records)
 }
 
-func TestADamagedMiddleIsRefused(t *testing.T) {
+func TestOpenRejectsDamageBeforeLastSegment(t *testing.T) {
 	store := recordlogtest.NewDisk()
 	log, _, err := open(store)
 	require.NoError(t, err)
 	require.NoError(t, log.Append(record(1)))
 	log.Close()
-	store.Add("0000000000000002.log", nil)
-	store.Damage("0000000000000001.log", 12)
+	store.AppendSynced("0000000000000002.log", nil)
+	store.FlipBit("0000000000000001.log", 12)
 	_, _, err = open(store)
 	var damaged *recordlog.Damaged
 	require.ErrorAs(t, err, &damaged)
 	require.Equal(t, "0000000000000001.log", damaged.Segment)
 }
 
-func TestAFullDiskRefusesAndLosesNothing(t *testing.T) {
+func TestFullDiskFailsAppendsAndLosesNoRecord(t *testing.T) {
 	store := recordlogtest.NewDisk()
 	log, _, err := open(store)
 	require.NoError(t, err)
 	require.NoError(t, log.Append(record(1)))
-	store.SetRoom(10)
+	store.SetFreeBytes(10)
 	var full *failure.DiskFailed
 	require.ErrorAs(t, log.Append(record(2)), &full)
 	require.ErrorIs(t, full, recordlogtest.ErrNoSpace)
-	store.SetRoom(-1)
+	store.SetFreeBytes(-1)
 	require.NoError(t, log.Append(record(3)), "room again")
 	log.Close()
 	_, records, err := open(store)
@@ -125,29 +125,29 @@
 	require.Equal(t, [][]byte{record(1), record(2), record(3)}, records, "no torn record between them")
 }
 
-// TestAnAppendWithoutRecordsFailsWhileEarlierOnesAreOwed holds that nobody takes
+// TestEmptyAppendFailsWhileEarlierRecordsAreUnwritten holds that nobody takes
 // a record for written whose own append has failed.
-func TestAnAppendWithoutRecordsFailsWhileEarlierOnesAreOwed(t *testing.T) {
+func TestEmptyAppendFailsWhileEarlierRecordsAreUnwritten(t *testing.T) {
 	store := recordlogtest.NewDisk()
 	log, _, err := open(store)
 	require.NoError(t, err)
 	defer log.Close()
-	store.SetRoom(10)
-	var told []recordlog.Place
-	require.Error(t, log.Enqueue(func(places []recordlog.Place) { told = places }, record(1))())
+	store.SetFreeBytes(10)
+	var told []recordlog.Position
+	require.Error(t, log.Enqueue(func(places []recordlog.Position) { told = places }, record(1))())
 	require.Error(t, log.Append())
-	require.Positive(t, log.Owed())
+	require.Positive(t, log.UnwrittenBytes())
 	require.Empty(t, told)
-	store.SetRoom(-1)
+	store.SetFreeBytes(-1)
 	require.NoError(t, log.Append())
-	require.Zero(t, log.Owed())
+	require.Zero(t, log.UnwrittenBytes())
 	require.Len(t, told, 1)
 	found, err := log.Read(told[0])
 	require.NoError(t, err)
 	require.Equal(t, record(1), found)
 }
 
-func TestManyAppendsKeepTheirOrderOverSegments(t *testing.T) {
+func TestAppendsKeepOrderAcrossSegments(t *testing.T) {
 	store := recordlogtest.NewDisk()
 	log, _, err := open(store)
 	require.NoError(t, err)
@@ -168,7 +168,7 @@
 	}
 }
 
-func TestAReplacedSegmentGivesItsSpaceBack(t *testing.T) {
+func TestReplaceSegmentFreesSpace(t *testing.T) {
 	store := recordlogtest.NewDisk()
 	log, _, err := open(store)
 	require.NoError(t, err)
@@ -176,7 +176,7 @@
 		require.NoError(t, log.Append(record(n)))
 	}
 	before := log.Size()
-	replaced := log.Replace(log.Oldest(), nil, record(3))
+	replaced := log.ReplaceSegment(log.OldestSegment(), nil, record(3))
 	after := log.Enqueue(nil, record(30))
 	require.NoError(t, replaced())
 	require.NoError(t, after())
@@ -190,17 +190,17 @@
 	require.Equal(t, [][]byte{record(3), record(30)}, records)
 }
 
-// TestALossOfPowerWhileASegmentIsReplacedLosesNothing cuts the replacement at
+// TestPowerLossDuringReplaceSegmentLosesNoRecord cuts the replacement at
 // every write.
-func TestALossOfPowerWhileASegmentIsReplacedLosesNothing(t *testing.T) {
+func TestPowerLossDuringReplaceSegmentLosesNoRecord(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		store := recordlogtest.NewDisk()
 		log, _, err := open(store)
 		require.NoError(t, err)
 		require.NoError(t, log.Append(record(1), record(2)))
-		wait := log.Replace(log.Oldest(), nil, record(1), record(2))
-		after := store.LosePower(random)
+		wait := log.ReplaceSegment(log.OldestSegment(), nil, record(1), record(2))
+		after := store.AfterPowerLoss(random)
 		require.NoError(t, wait())
 		log.Close()
 		_, records, err := open(after)
@@ -213,22 +213,22 @@
 	}
 }
 
-// TestEveryRecordIsReadWhereItWasPlaced writes over several segments, replaces
+// TestReadReturnsRecordsAtTheirPositions writes over several segments, replaces
 // the oldest and opens the log again.
-func TestEveryRecordIsReadWhereItWasPlaced(t *testing.T) {
+func TestReadReturnsRecordsAtTheirPositions(t *testing.T) {
 	store := recordlogtest.NewDisk()
 	log, _, err := open(store)
 	require.NoError(t, err)
-	places := map[int]recordlog.Place{}
+	places := map[int]recordlog.Position{}
 	write := func(n int) {
 		data := append(record(n), make([]byte, 1<<20)...)
-		require.NoError(t, log.Enqueue(func(at []recordlog.Place) { places[n] = at[0] }, data)())
+		require.NoError(t, log.Enqueue(func(at []recordlog.Position) { places[n] = at[0] }, data)())
 	}
 	for n := range 12 {
 		write(n)
 	}
-	first := log.Oldest()
-	require.NoError(t, log.Replace(first, nil)())
+	first := log.OldestSegment()
+	require.NoError(t, log.ReplaceSegment(first, nil)())
 	for n, at := range places {
 		data, err := log.Read(at)
 		if at.Segment == first {
@@ -240,7 +240,7 @@
 		require.Equal(t, record(n), data[:len(record(n))])
 	}
 	log.Close()
-	again, err := recordlog.Open(store, func([]byte, recordlog.Place) error { return nil })
+	again, err := recordlog.Open(store, func([]byte, recordlog.Position) error { return nil })
 	require.NoError(t, err)
 	defer again.Close()
 	data, err := again.Read(places[11])
@@ -248,19 +248,19 @@
 	require.Equal(t, record(11), data[:len(record(11))])
 }
 
-// TestManyRecordsAreReadWithFewReads reads every second record, and records in
+// TestReadAllCombinesAdjacentRecords reads every second record, and records in
 // an order that is not theirs.
-func TestManyRecordsAreReadWithFewReads(t *testing.T) {
+func TestReadAllCombinesAdjacentRecords(t *testing.T) {
 	store := recordlogtest.NewDisk()
 	log, _, err := open(store)
 	require.NoError(t, err)
 	defer log.Close()
-	var places []recordlog.Place
+	var places []recordlog.Position
 	for n := range 400 {
 		data := append(record(n), make([]byte, 20<<10)...)
-		require.NoError(t, log.Enqueue(func(at []recordlog.Place) { places = append(places, at...) }, data)())
+		require.NoError(t, log.Enqueue(func(at []recordlog.Position) { places = append(places, at...) }, data)())
 	}
-	var wanted []recordlog.Place
+	var wanted []recordlog.Position
 	var numbers []int
 	for n := 0; n < len(places); n += 2 {
 		wanted, numbers = append(wanted, places[n]), append(numbers, n)
@@ -268,10 +268,10 @@
 	for _, n := range []int{399, 3, 200} {
 		wanted, numbers = append(wanted, places[n]), append(numbers, n)
 	}
-	before := store.Reads()
+	before := store.ReadAtCount()
 	records, err := log.ReadAll(wanted)
 	require.NoError(t, err)
-	require.Less(t, store.Reads()-before, 20)
+	require.Less(t, store.ReadAtCount()-before, 20)
 	require.Len(t, records, len(numbers))
 	for i, n := range numbers {
 		require.Equal(t, record(n), records[i][:len(record(n))])
@@ -281,14 +281,14 @@
 	require.Empty(t, none)
 }
 
-func TestADamagedRecordIsNotReturned(t *testing.T) {
+func TestReadRejectsDamagedRecord(t *testing.T) {
 	store := recordlogtest.NewDisk()
 	log, _, err := open(store)
 	require.NoError(t, err)
 	defer log.Close()
-	var at recordlog.Place
-	require.NoError(t, log.Enqueue(func(places []recordlog.Place) { at = places[0] }, record(1))())
-	store.Damage("0000000000000001.log", 12)
+	var at recordlog.Position
+	require.NoError(t, log.Enqueue(func(places []recordlog.Position) { at = places[0] }, record(1))())
+	store.FlipBit("0000000000000001.log", 12)
 	_, err = log.Read(at)
 	var damaged *recordlog.Damaged
 	require.ErrorAs(t, err, &damaged)
@@ -302,7 +302,7 @@
 }
 
 func BenchmarkAppend(b *testing.B) {
-	log, _, err := open(recordlog.Folder(b.TempDir()))
+	log, _, err := open(recordlog.Directory(b.TempDir()))
 	require.NoError(b, err)
 	defer log.Close()
 	data := make([]byte, 6<<10)
--- a/internal/recordlog/recordlogtest/disk.go
+++ b/internal/recordlog/recordlogtest/disk.go
@@ -83,8 +83,8 @@
 	return file, nil
 }
 
-// Open opens a file for appending at an offset.
-func (d *Disk) Open(name string, offset int64) (recordlog.File, error) {
+// OpenAppend opens a file for appending at an offset.
+func (d *Disk) OpenAppend(name string, offset int64) (recordlog.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	file := d.files[name]
@@ -160,36 +160,36 @@
 	return offset, nil
 }
 
-// SetRoom sets the number of bytes that may still be written; -1 is no limit.
-func (d *Disk) SetRoom(bytes int) {
+// SetFreeBytes sets the number of bytes that may still be written; -1 is no limit.
+func (d *Disk) SetFreeBytes(bytes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.room = bytes
 }
 
-// SetSyncTime sets how long each sync takes from now on.
-func (d *Disk) SetSyncTime(takes time.Duration) {
+// SetSyncDelay sets how long each sync takes from now on.
+func (d *Disk) SetSyncDelay(takes time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.syncTime = takes
 }
 
-// Reads returns how many reads of parts of files there were.
-func (d *Disk) Reads() int {
+// ReadAtCount returns how many reads of parts of files there were.
+func (d *Disk) ReadAtCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.reads
 }
 
-// Damage changes one byte of a file.
-func (d *Disk) Damage(name string, offset int) {
+// FlipBit changes one byte of a file.
+func (d *Disk) FlipBit(name string, offset int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.files[name].data[offset] ^= 1
 }
 
-// Add puts bytes at the end of a file, which may be new.
-func (d *Disk) Add(name string, data []byte) {
+// AppendSynced puts bytes at the end of a file, which may be new.
+func (d *Disk) AppendSynced(name string, data []byte) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	file := d.files[name]
@@ -201,8 +201,8 @@
 	file.synced = append([]byte(nil), file.data...)
 }
 
-// LosePower returns the disk as it is after a loss of power.
-func (d *Disk) LosePower(random *rand.Rand) *Disk {
+// AfterPowerLoss returns the disk as it is after a loss of power.
+func (d *Disk) AfterPowerLoss(random *rand.Rand) *Disk {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	after := NewDisk()
--- a/internal/recordlog/rotate_test.go
+++ b/internal/recordlog/rotate_test.go
@@ -45,11 +45,11 @@
 	return &refusingFile{File: file, disk: d}, err
 }
 
-// TestANewSegmentThatFailedIsBegunAgain: its file stayed, so that no later try could make it,
+// TestRotationIsRetriedAfterFailedSync: its file stayed, so that no later try could make it,
 // and a replica whose disk was full for a moment took no record until it was started again.
-func TestANewSegmentThatFailedIsBegunAgain(t *testing.T) {
+func TestRotationIsRetriedAfterFailedSync(t *testing.T) {
 	disk := &refusingDisk{Disk: recordlogtest.NewDisk()}
-	log, err := recordlog.Open(disk, func([]byte, recordlog.Place) error { return nil })
+	log, err := recordlog.Open(disk, func([]byte, recordlog.Position) error { return nil })
 	require.NoError(t, err)
 	defer log.Close()
 	// The first segment is full.
@@ -58,5 +58,5 @@
 	require.Error(t, log.Append([]byte("refused")))
 	disk.refusing = false
 	require.NoError(t, log.Append([]byte("taken")))
-	require.Zero(t, log.Owed())
+	require.Zero(t, log.UnwrittenBytes())
 }
--- a/internal/recordlog/segments.go
+++ b/internal/recordlog/segments.go
@@ -24,8 +24,8 @@
 
 var checksums = crc32.MakeTable(crc32.Castagnoli)
 
-// Place is where a record lies in the log. The zero value is no place.
-type Place struct {
+// Position is where a record lies in the log. The zero value is no place.
+type Position struct {
 	// Segment is the number of the segment, from 1.
 	Segment uint64
 	// Offset is that of the record's frame, in bytes.
@@ -35,7 +35,7 @@
 }
 
 // IsZero reports whether p is no place.
-func (p Place) IsZero() bool { return p.Segment == 0 }
+func (p Position) IsZero() bool { return p.Segment == 0 }
 
 // frame appends a record with its header.
 func frame(to, record []byte) []byte {
@@ -83,7 +83,7 @@
 }
 
 // segmentNumbers returns the numbers of the segments in a folder, oldest first.
-func segmentNumbers(files Files) ([]uint64, error) {
+func segmentNumbers(files FileSystem) ([]uint64, error) {
 	names, err := files.List()
 	if err != nil {
 		return nil, &failure.DiskFailed{Cause: err}
@@ -106,14 +106,14 @@
 // readSegment passes the records of one segment on and returns the length of its
 // good part. Only the last segment may end torn: each other one was synced whole
 // before the next began.
-func readSegment(files Files, number uint64, last bool, take func([]byte, Place) error) (int64, error) {
+func readSegment(files FileSystem, number uint64, last bool, take func([]byte, Position) error) (int64, error) {
 	name := segmentName(number)
 	data, err := files.Read(name)
 	if err != nil {
 		return 0, &failure.DiskFailed{Cause: err}
 	}
 	good, err := frames(data, func(record []byte, offset int64) error {
-		return take(record, Place{Segment: number, Offset: offset, Length: len(record)})
+		return take(record, Position{Segment: number, Offset: offset, Length: len(record)})
 	})
 	if err != nil {
 		return 0, err
@@ -158,11 +158,11 @@
 // Moved reports a place whose segment is gone: the record lies elsewhere now, or
 // has expired.
 type Moved struct {
-	Place Place
+	Position Position
 }
 
 func (e *Moved) Error() string {
-	return fmt.Sprintf("segment %d, which held the record, is gone", e.Place.Segment)
+	return fmt.Sprintf("segment %d, which held the record, is gone", e.Position.Segment)
 }
 
 // Type returns "record_moved".
@@ -175,15 +175,15 @@
 func (e *Moved) Retry() failure.Retry { return failure.Retry{Allowed: true} }
 
 // readBytes reads length bytes from the beginning of a place on.
-func (r *readers) readBytes(at Place, length int64) ([]byte, error) {
+func (r *readers) readBytes(at Position, length int64) ([]byte, error) {
 	reader := r.of(at.Segment)
 	if reader == nil {
-		return nil, &Moved{Place: at}
+		return nil, &Moved{Position: at}
 	}
 	data := make([]byte, length)
 	if _, err := reader.ReadAt(data, at.Offset); err != nil {
 		if r.of(at.Segment) == nil {
-			return nil, &Moved{Place: at}
+			return nil, &Moved{Position: at}
 		}
 		return nil, &failure.DiskFailed{Cause: err}
 	}
@@ -205,7 +205,7 @@
 
 // readAll returns the records at places. Those that lie close to each other, in
 // the order given, come with one read: each read has its price on a disk.
-func (r *readers) readAll(places []Place) ([][]byte, error) {
+func (r *readers) readAll(places []Position) ([][]byte, error) {
 	records := make([][]byte, 0, len(places))
 	for len(places) > 0 {
 		count := spanLength(places)
@@ -219,7 +219,7 @@
 }
 
 // spanLength returns how many of the first places are read at once.
-func spanLength(places []Place) int {
+func spanLength(places []Position) int {
 	first := places[0]
 	for i := 1; i < len(places); i++ {
 		before, next := places[i-1], places[i]
@@ -232,10 +232,10 @@
 }
 
 // end returns the offset after the record.
-func (p Place) end() int64 { return p.Offset + int64(headerBytes+p.Length) }
+func (p Position) end() int64 { return p.Offset + int64(headerBytes+p.Length) }
 
 // readSpan reads records of one segment with one read.
-func (r *readers) readSpan(places []Place) ([][]byte, error) {
+func (r *readers) readSpan(places []Position) ([][]byte, error) {
 	first, last := places[0], places[len(places)-1]
 	data, err := r.readBytes(first, last.end()-first.Offset)
 	if err != nil {
--- a/internal/replica/address_test.go
+++ b/internal/replica/address_test.go
@@ -12,9 +12,9 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1/replicav1connect"
 )
 
-// TestANodeAtTheAddressOfOneThatIsGoneDoesNotSpeakForIt: the seat of a machine that was gone
+// TestAnswerFromAnotherNodeAtSameAddressIsIgnored: the seat of a machine that was gone
 // would stay with it for as long as its successor answers at its address.
-func TestANodeAtTheAddressOfOneThatIsGoneDoesNotSpeakForIt(t *testing.T) {
+func TestAnswerFromAnotherNodeAtSameAddressIsIgnored(t *testing.T) {
 	answering, group, _ := copier(t, 3)
 	_, handler := replicav1connect.NewReplicaServiceHandler(&service{
 		node: "successor", state: answering.state, directory: answering.directory, peers: newFailureDetector(answering.peers.now),
--- a/internal/replica/admission_test.go
+++ b/internal/replica/admission_test.go
@@ -11,9 +11,9 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1/replicav1connect"
 )
 
-// TestCallsBeyondTheBoundAreRefusedAtOnce fills a replica with calls that do not
+// TestCallsBeyondInFlightLimitAreRefused fills a replica with calls that do not
 // end, and then lets them go.
-func TestCallsBeyondTheBoundAreRefusedAtOnce(t *testing.T) {
+func TestCallsBeyondInFlightLimitAreRefused(t *testing.T) {
 	release := make(chan struct{})
 	var begun, ended sync.WaitGroup
 	bound := newAdmission(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -19,7 +19,7 @@
 const turnBytes = 6 << 10
 
 func benchService(b *testing.B) *service {
-	opened, err := openState(recordlog.Folder(b.TempDir()))
+	opened, err := openState(recordlog.Directory(b.TempDir()))
 	require.NoError(b, err)
 	b.Cleanup(opened.log.Close)
 	group := &replicav1.Group{Epoch: 1, Members: []*replicav1.Member{{Node: "a", Claim: 1}}}
--- a/internal/replica/compact_test.go
+++ b/internal/replica/compact_test.go
@@ -11,9 +11,9 @@
 	"github.com/barleyshelf/barleyshelf/internal/recordlog/recordlogtest"
 )
 
-// TestACompactedLogHoldsEverythingThatIsLive writes much that expires, and
+// TestCompactionKeepsLiveRecords writes much that expires, and
 // compares the state before and after a compaction and a restart.
-func TestACompactedLogHoldsEverythingThatIsLive(t *testing.T) {
+func TestCompactionKeepsLiveRecords(t *testing.T) {
 	disk := recordlogtest.NewDisk()
 	opened, err := openState(disk)
 	require.NoError(t, err)
--- a/internal/replica/compaction.go
+++ b/internal/replica/compaction.go
@@ -22,7 +22,7 @@
 		if size < s.compactFrom || size < compactFactor*live {
 			return nil
 		}
-		if err := s.compactSegment(s.log.Oldest()); err != nil {
+		if err := s.compactSegment(s.log.OldestSegment()); err != nil {
 			return err
 		}
 	}
@@ -42,7 +42,7 @@
 // compactSegment writes what is live in a segment, and everything that is not
 // a store's, to the end of the log, and gives the segment's space back.
 func (s *state) compactSegment(segment uint64) error {
-	var places []recordlog.Place
+	var places []recordlog.Position
 	var written []placedRecord
 	s.mutex.Lock()
 	for partition, each := range s.partitions {
@@ -66,7 +66,7 @@
 		encoded = append(encoded, data)
 		written = append(written, placedRecord{position: noPosition})
 	}
-	wait := s.log.Replace(segment, s.placed(written), encoded...)
+	wait := s.log.ReplaceSegment(segment, s.placed(written), encoded...)
 	s.mutex.Unlock()
 	return wait()
 }
--- a/internal/replica/confined.go
+++ b/internal/replica/confined.go
@@ -78,13 +78,13 @@
 func (r *Replica) formConfined(ctx context.Context) {
 	view := r.directory.View()
 	layout := directory.AnyGroup(view.Groups)
-	if view.Table == nil || !view.Table.Confines() || layout == nil {
+	if view.Table == nil || !view.Table.RestrictsRegions() || layout == nil {
 		return
 	}
 	own := directory.Replica{Node: r.options.Node, Address: r.options.Address, Zone: r.options.Zone}
 	for partition, group := range view.Groups {
 		region := regionOfPartition(layout, uint32(partition))
-		within := nodesWithin(region, r.followers.nodes(), r.options.Regions)
+		within := nodesWithin(region, r.followers.nodes(), r.options.RegionOf)
 		rank := slices.IndexFunc(within, func(node directory.Replica) bool { return node.Node == own.Node })
 		if group != nil || region == "" || rank < 0 || r.followers.retiring()[own.Node] {
 			continue
@@ -105,10 +105,10 @@
 	switch {
 	case err == nil:
 		eventProposed.Log("partition", group.Partition, "epoch", group.Epoch, "members", len(group.Members))
-		r.directory.TakeGroup(group, directory.SourceSelf)
+		r.directory.ApplyGroup(group, directory.SourceSelf)
 	case errors.As(err, &taken):
 		if found, exists, err := r.objects.Get(ctx, directory.KindGroup, name); err == nil && exists {
-			r.directory.TakeGroup(found.Group, directory.SourceStore)
+			r.directory.ApplyGroup(found.Group, directory.SourceStore)
 		}
 	}
 	// Any other failure is that of the store, which its feed tells; it is tried again.
@@ -139,7 +139,7 @@
 // proposed the group had other settings, or none of regions.
 func (r *Replica) strayed(group *replicav1.Group) bool {
 	own := []directory.Replica{{Node: r.options.Node, Zone: r.options.Zone}}
-	return seatOf(group, r.options.Node) != nil && len(nodesWithin(group.Region, own, r.options.Regions)) == 0
+	return seatOf(group, r.options.Node) != nil && len(nodesWithin(group.Region, own, r.options.RegionOf)) == 0
 }
 
 // straySeats counts the seats that this node may not hold.
--- a/internal/replica/confined_test.go
+++ b/internal/replica/confined_test.go
@@ -36,9 +36,9 @@
 	"3/4: n-0-2 n-1-1 n-2-0 n-3-0 n-1-2",
 }
 
-// TestASystemOfOneRegionFormsTheGroupsItAlwaysFormed: what is written here are the groups
+// TestInitialGroupsOfOneRegionAreStable: what is written here are the groups
 // of such a system, and those of deployments that stand.
-func TestASystemOfOneRegionFormsTheGroupsItAlwaysFormed(t *testing.T) {
+func TestInitialGroupsOfOneRegionAreStable(t *testing.T) {
 	nodes := fleet(4, 3)
 	for _, regionOf := range []map[string]string{nil, inRegions(nodes, 1)} {
 		var formed []string
@@ -60,9 +60,9 @@
 	})
 }
 
-// TestSeveralRegionsGetPartitionsOfTheirOwn: beside them the others stand as they would
+// TestEachRegionGetsConfinedPartitions: beside them the others stand as they would
 // without regions.
-func TestSeveralRegionsGetPartitionsOfTheirOwn(t *testing.T) {
+func TestEachRegionGetsConfinedPartitions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := fleet(rapid.IntRange(2, 8).Draw(t, "zones"), rapid.IntRange(1, 4).Draw(t, "each"))
 		regionOf := inRegions(nodes, rapid.IntRange(2, 4).Draw(t, "regions"))
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestANodeWithoutARegionHoldsNoConfinedSeat: settings that name no region of its zone.
-func TestANodeWithoutARegionHoldsNoConfinedSeat(t *testing.T) {
+// TestNodeWithoutRegionHoldsNoConfinedSeat: settings that name no region of its zone.
+func TestNodeWithoutRegionHoldsNoConfinedSeat(t *testing.T) {
 	nodes := fleet(3, 1)
 	regionOf := map[string]string{"z0": "north", "z1": "south", "z2": ""}
 	require.Equal(t, []string{"north", "south"}, foundingGroups(nodes, regionOf)[0].Confined)
@@ -104,13 +104,13 @@
 	require.Equal(t, []string{"n-1-0"}, memberNames(firstConfined(nodes, regionOf, "south")))
 }
 
-// TestTheDisksThatARegionMayLose counts how many disks of a confined group may be lost
+// TestToleratedDiskLossesPerRegion counts how many disks of a confined group may be lost
 // before one that has an acknowledged record may be among them.
-func TestTheDisksThatARegionMayLose(t *testing.T) {
+func TestToleratedDiskLossesPerRegion(t *testing.T) {
 	for nodes, lost := range map[int]int{1: 0, 2: 1, 3: 1, 4: 2, 5: 2, 9: 2} {
 		listed := fleet(2, nodes)
 		regionOf := inRegions(listed, 2)
-		require.Equal(t, lost, quorum.WriteSize(quorum.Voters(firstConfined(listed, regionOf, "region-0")))-1, "%d nodes", nodes)
+		require.Equal(t, lost, quorum.WriteQuorum(quorum.VoterCount(firstConfined(listed, regionOf, "region-0")))-1, "%d nodes", nodes)
 	}
 }
 
@@ -119,13 +119,13 @@
 	return &route.Configuration{Version: version, Routes: []route.Route{{Name: "r", Host: "h", Prefix: "/", Regions: []string{"region-0"}}}}
 }
 
-// TestASystemThatConfinesFromItsBeginHasWholeGroups: they need not grow first.
-func TestASystemThatConfinesFromItsBeginHasWholeGroups(t *testing.T) {
+// TestInitialConfinedGroupsHaveAllSeats: they need not grow first.
+func TestInitialConfinedGroupsHaveAllSeats(t *testing.T) {
 	objects := &groupObjects{groups: make(map[string]*replicav1.Group)}
 	nodes := fleet(6, 3)
 	one := former(t, objects, "n-0-0", nodes)
-	one.options.Regions = inRegions(nodes, 2)
-	one.directory.OfferConfiguration(confining(1))
+	one.options.RegionOf = inRegions(nodes, 2)
+	one.directory.ApplyConfiguration(confining(1))
 	one.form(t.Context())
 	require.Len(t, objects.groups, 12, "six, and three of each region")
 	held := seatsHeld(one.directory.Groups())
@@ -138,16 +138,16 @@
 	}
 }
 
-// TestConfinedGroupsAreFormedWhenSomethingIsConfined, each by a node of its region, and not
+// TestConfinedGroupsAreFormedOnceConfigurationConfinesARoute, each by a node of its region, and not
 // before: a system that confines nothing has nothing of them to lose.
-func TestConfinedGroupsAreFormedWhenSomethingIsConfined(t *testing.T) {
+func TestConfinedGroupsAreFormedOnceConfigurationConfinesARoute(t *testing.T) {
 	objects := &groupObjects{groups: make(map[string]*replicav1.Group)}
 	nodes := fleet(3, 2)
 	regionOf := inRegions(nodes, 3)
 	var all []*Replica
 	for _, node := range nodes {
 		one := former(t, objects, node.Node, nodes)
-		one.options.Zone, one.options.Regions = node.Zone, regionOf
+		one.options.Zone, one.options.RegionOf = node.Zone, regionOf
 		one.proposals.now = func() time.Time { return time.Now().Add(time.Hour) }
 		all = append(all, one)
 	}
@@ -156,19 +156,19 @@
 	require.Len(t, objects.groups, 2)
 	for _, one := range all {
 		for _, group := range objects.groups {
-			one.directory.TakeGroup(group, directory.SourceStore)
+			one.directory.ApplyGroup(group, directory.SourceStore)
 		}
-		one.directory.OfferConfiguration(&route.Configuration{Version: 1})
+		one.directory.ApplyConfiguration(&route.Configuration{Version: 1})
 		one.formConfined(t.Context())
 		require.False(t, missing(one.directory.Groups()), "a retirement waits for none of them")
 	}
 	require.Len(t, objects.groups, 2)
-	unaware.directory.TakeGroup(objects.groups[directory.GroupName(0)], directory.SourceStore)
-	unaware.directory.OfferConfiguration(confining(2))
+	unaware.directory.ApplyGroup(objects.groups[directory.GroupName(0)], directory.SourceStore)
+	unaware.directory.ApplyConfiguration(confining(2))
 	unaware.formConfined(t.Context())
 	require.Len(t, objects.groups, 2, "one whose settings name no regions forms none")
 	for _, one := range all {
-		one.directory.OfferConfiguration(confining(2))
+		one.directory.ApplyConfiguration(confining(2))
 		for range 2 {
 			one.formConfined(t.Context())
 			one.proposals.wanted = map[uint32]wantedChange{2: {}, 3: {}, 4: {}}
@@ -184,29 +184,29 @@
 	}
 }
 
-// TestTheFirstGroupsWaitForARegionThatStartsLate, but not for ever.
-func TestTheFirstGroupsWaitForARegionThatStartsLate(t *testing.T) {
+// TestInitialGroupsWaitForLateRegion, but not for ever.
+func TestInitialGroupsWaitForLateRegion(t *testing.T) {
 	nodes := fleet(2, 2)
 	waiting := former(t, &groupObjects{groups: make(map[string]*replicav1.Group)}, "n-0-0", nodes[:2])
 	require.True(t, waiting.timeToForm(2*formAfter), "settings that name no regions")
-	waiting.options.Regions = inRegions(nodes, 2)
+	waiting.options.RegionOf = inRegions(nodes, 2)
 	require.False(t, waiting.timeToForm(formAfter+lateRegions))
 	require.True(t, waiting.timeToForm(formAfter+lateRegions+1))
 	waiting = former(t, &groupObjects{groups: make(map[string]*replicav1.Group)}, "n-0-0", nodes)
-	waiting.options.Regions = inRegions(nodes, 2)
+	waiting.options.RegionOf = inRegions(nodes, 2)
 	require.False(t, waiting.timeToForm(formAfter/2))
 	require.True(t, waiting.timeToForm(2*formAfter))
 }
 
-// TestAStraySeatIsTold and not taken: whoever proposed the group knew nothing of regions.
-func TestAStraySeatIsTold(t *testing.T) {
+// TestStraySeatIsCountedAndNotTaken and not taken: whoever proposed the group knew nothing of regions.
+func TestStraySeatIsCountedAndNotTaken(t *testing.T) {
 	nodes := fleet(2, 2)
 	regionOf := inRegions(nodes, 2)
 	confined := firstConfined(nodes, regionOf, "region-0")
 	own := confined.Members[0].Node
 	home := former(t, &groupObjects{groups: make(map[string]*replicav1.Group)}, own, nodes)
-	home.options.Zone, home.options.Regions = confined.Members[0].Zone, regionOf
-	home.directory.TakeGroup(confined, directory.SourceStore)
+	home.options.Zone, home.options.RegionOf = confined.Members[0].Zone, regionOf
+	home.directory.ApplyGroup(confined, directory.SourceStore)
 	require.Zero(t, home.straySeats())
 	home.options.Zone = "z1"
 	require.Equal(t, 1, home.straySeats())
--- a/internal/replica/copy.go
+++ b/internal/replica/copy.go
@@ -94,7 +94,7 @@
 	if c.failed > 0 {
 		return sources, nil
 	}
-	if inTransfer(member) && !quorum.Joining(member) {
+	if inTransfer(member) && !quorum.IsJoining(member) {
 		// The holder before comes last and is enough alone; often it is gone.
 		return sources[len(sources)-1:], sources[:len(sources)-1]
 	}
--- a/internal/replica/copy_test.go
+++ b/internal/replica/copy_test.go
@@ -76,16 +76,16 @@
 		member.Address = strings.TrimPrefix(server.URL, "http://")
 		sources = append(sources, source)
 	}
-	copying, err := New(Options{Node: fmt.Sprintf("n%d", seats-1), Folder: t.TempDir()}, nil)
+	copying, err := New(Options{Node: fmt.Sprintf("n%d", seats-1), DataFolder: t.TempDir()}, nil)
 	require.NoError(t, err)
 	t.Cleanup(func() { copying.state.log.Close() })
-	copying.directory.TakeGroup(group, directory.SourceStore)
+	copying.directory.ApplyGroup(group, directory.SourceStore)
 	return copying, group, sources
 }
 
-// TestACopyGoesOnWhereItStopped: a copy that began anew after each break moved the
+// TestCopyResumesWhereItStopped: a copy that began anew after each break moved the
 // same records again and again, and kept its sources from their other work.
-func TestACopyGoesOnWhereItStopped(t *testing.T) {
+func TestCopyResumesWhereItStopped(t *testing.T) {
 	copying, group, sources := copier(t, 3)
 	member := group.Members[2]
 	filling := &seat{replica: copying}
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestAFirstAttemptAsksNoMoreSourcesThanAreEnough(t *testing.T) {
+func TestFirstCopyAttemptQueriesOnlyRequiredSources(t *testing.T) {
 	copying, group, sources := copier(t, 5)
 	(&seat{replica: copying}).fill(t.Context(), group, group.Members[4])
 	asked := 0
@@ -116,7 +116,7 @@
 	require.Equal(t, 3, asked)
 }
 
-func TestASeatInTransferIsCopiedFromTheHolderBeforeAlone(t *testing.T) {
+func TestSeatInTransferIsCopiedFromPreviousHolder(t *testing.T) {
 	group := &replicav1.Group{Epoch: 2, Members: []*replicav1.Member{
 		{Seat: 0, Node: "a"}, {Seat: 1, Node: "b"}, {Seat: 2, Node: "d", Claim: 2, Predecessor: &replicav1.Predecessor{Node: "c", Claim: 1}},
 	}}
@@ -131,7 +131,7 @@
 	require.Len(t, wanted, 3, "the others too once it was not enough")
 }
 
-func TestAttemptsThatBringNothingComeLessOften(t *testing.T) {
+func TestCopyBackoffGrowsWithoutProgress(t *testing.T) {
 	failing := newSeatCopy()
 	require.Zero(t, failing.pause())
 	var pauses []time.Duration
@@ -147,7 +147,7 @@
 	require.Equal(t, firstCopyPause, failing.pause(), "one that brought records begins anew")
 }
 
-func TestPartsShrinkWhileTheyTimeOut(t *testing.T) {
+func TestChunkSizeShrinksOnTimeout(t *testing.T) {
 	slow := newSeatCopy().of("a")
 	require.Equal(t, maxPullBytes, slow.partBytes)
 	for range 10 {
@@ -158,16 +158,16 @@
 	require.Equal(t, 2*minPullBytes, slow.partBytes)
 }
 
-func TestAnotherLifeOfASourceIsCopiedFromItsStart(t *testing.T) {
+func TestNewSourceGenerationIsCopiedFromStart(t *testing.T) {
 	copied := newSeatCopy().of("a")
 	require.True(t, copied.take(&replicav1.PullResponse{Life: 1, Next: 40, More: true}))
 	require.True(t, copied.take(&replicav1.PullResponse{Life: 2, Next: 60}), "positions of another life mean other records")
 	require.Zero(t, copied.after)
 }
 
-// TestASeatWhoseHolderIsGoneIsCopiedFromTheOthersInTheFirstAttempt: waiting for it first cost
+// TestFirstAttemptFallsBackWhenPreviousHolderIsGone: waiting for it first cost
 // 0.8 s, in which the group did not bear another lost disk.
-func TestASeatWhoseHolderIsGoneIsCopiedFromTheOthersInTheFirstAttempt(t *testing.T) {
+func TestFirstAttemptFallsBackWhenPreviousHolderIsGone(t *testing.T) {
 	copying, group, sources := copier(t, 3)
 	release := make(chan struct{})
 	gone := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
@@ -187,7 +187,7 @@
 }
 
 // A copy waited 0.7 s and more for a member that had gone, beside one that holds everything.
-func TestASourceThatIsSilentIsNotAskedFirst(t *testing.T) {
+func TestUnresponsiveSourceIsNotQueriedFirst(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c", "d"))
 	wanted, spare := newSeatCopy().wanted(group, group.Members[3], except("a"))
 	require.Equal(t, []string{"b", "c"}, nodesOf(wanted))
--- a/internal/replica/departure.go
+++ b/internal/replica/departure.go
@@ -125,11 +125,11 @@
 // each holds every record that counts, and no write succeeds without it, so that one is enough
 // once the other has failed; while the removal of a third is not complete, that does not hold.
 func changeSize(seen observation, leaving *departure) int {
-	voters := quorum.Voters(seen.group)
+	voters := quorum.VoterCount(seen.group)
 	if voters == 2 && leaving != nil && leaving.reason == memberFailed && seen.group.Removed == nil {
 		return 1
 	}
-	return quorum.WriteSize(voters)
+	return quorum.WriteQuorum(voters)
 }
 
 // mayBeRemoved reports whether a member may lose its seat without a successor. One that has failed
@@ -152,7 +152,7 @@
 	default:
 		return false
 	}
-	return quorum.Joining(leaving.member) || quorum.Voters(seen.group) > 2
+	return quorum.IsJoining(leaving.member) || quorum.VoterCount(seen.group) > 2
 }
 
 // mayBeReinstated reports whether the member that was removed last is to have its seat back for one
@@ -168,7 +168,7 @@
 			return false
 		}
 	}
-	return len(seen.group.Members) == 2 && quorum.Voters(seen.group) == 2
+	return len(seen.group.Members) == 2 && quorum.VoterCount(seen.group) == 2
 }
 
 // reinstate returns the group in which the member that was removed last has its seat again, and a
--- a/internal/replica/departure_test.go
+++ b/internal/replica/departure_test.go
@@ -26,7 +26,7 @@
 }
 
 // Of two members with a reason to leave, the one that works must not stand in the way of the other.
-func TestAMemberThatDoesNotAnswerLeavesBeforeOneThatWorks(t *testing.T) {
+func TestUnresponsiveMemberLeavesBeforeHealthyOne(t *testing.T) {
 	for first := range memberSurplus {
 		for second := range memberSurplus {
 			for _, names := range [][2]string{{"a", "b"}, {"b", "a"}} {
@@ -58,7 +58,7 @@
 }
 
 // One that went for good while another was emptied kept its vote, and the next lost disk ended service.
-func TestAFailedMemberLosesItsSeatWhileAnotherOneRetires(t *testing.T) {
+func TestFailedMemberIsRemovedWhileAnotherRetires(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	for _, retiring := range []string{"a", "c"} {
 		seen := lostMember(group, "b", "a", "b", "c")
@@ -77,7 +77,7 @@
 }
 
 // A machine that went for good while it was emptied was left to remove itself, and kept its vote.
-func TestARetiringMemberThatFailsIsRemovedByTheOthers(t *testing.T) {
+func TestFailedRetiringMemberIsRemovedByOthers(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := lostMember(group, "b", "a", "b", "c")
 	seen.retiring["b"] = true
@@ -88,7 +88,7 @@
 }
 
 // Of a machine that went after it had left its group, and before it was told to have, the others waited for a word.
-func TestARetiredMembersSeatIsRemovedLikeThatOfAFailedOne(t *testing.T) {
+func TestRetiredMemberIsRemovedLikeFailedOne(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenRetiring(group, "b", "a", "b", "c")
 	next := nextGroup(seen)
@@ -105,7 +105,7 @@
 }
 
 // The group of two that was left could replace nobody for as long as the removal was under way.
-func TestTheMemberRemovedLastStandsInForOneThatFailsMeanwhile(t *testing.T) {
+func TestRemovedMemberIsReinstatedWhenAnotherFails(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	removing := nextGroup(seenRetiring(group, "b", "a", "b", "c"))
 	seen := lostMember(removing, "c", "a", "b", "c")
@@ -120,7 +120,7 @@
 	require.Nil(t, nextGroup(seen), "the one that is left has what counted meanwhile")
 }
 
-func TestAnExchangeGoesOnWithoutAMemberThatFailsMeanwhile(t *testing.T) {
+func TestExchangeContinuesWithoutFailedMember(t *testing.T) {
 	partners := func(members ...string) []string {
 		group := oneGroup(nodes(members...))
 		removing := nextGroup(seenRetiring(group, "a", members...))
@@ -135,7 +135,7 @@
 	require.Empty(t, exchangePartners(suspect), "one that has not failed may have acknowledged what the others lack")
 }
 
-func TestTwoRetirementsAtOnceLeaveTwoMembers(t *testing.T) {
+func TestConcurrentRetirementsKeepTwoMembers(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenRetiring(group, "a", "a", "b", "c")
 	seen.retiring["b"] = true
--- a/internal/replica/directory_test.go
+++ b/internal/replica/directory_test.go
@@ -20,9 +20,9 @@
 	return response.Msg
 }
 
-// TestNewsNameOtherGateways holds that gateways learn of each other from the
+// TestDirectoryNamesOtherGateways holds that gateways learn of each other from the
 // questions that they ask anyway, and are told again only when that changes.
-func TestNewsNameOtherGateways(t *testing.T) {
+func TestDirectoryNamesOtherGateways(t *testing.T) {
 	asked := &service{
 		directory: directory.NewState(time.Now, nil), roster: newRoster(time.Now), followers: newFollowed(), observations: newObservations(time.Now),
 		age: func() (time.Duration, bool) { return 0, true },
--- a/internal/replica/discovery.go
+++ b/internal/replica/discovery.go
@@ -40,8 +40,8 @@
 		r.askForSystem(asking)
 	}()
 	for {
-		changed := r.directory.News()
-		if r.directory.KnowsSystem() {
+		changed := r.directory.ViewChanged()
+		if r.directory.AcceptsPeerGroups() {
 			return
 		}
 		select {
@@ -87,7 +87,7 @@
 	for {
 		select {
 		case group := <-r.unproven:
-			if r.directory.KnowsSystem() || r.prove(ctx, group) || time.Since(asked) < unprovenPause {
+			if r.directory.AcceptsPeerGroups() || r.prove(ctx, group) || time.Since(asked) < unprovenPause {
 				continue
 			}
 			asked = time.Now()
@@ -107,7 +107,7 @@
 		return false
 	}
 	eventProven.Log("partition", group.Partition, "epoch", group.Epoch, "system", group.System, "address", member.Address)
-	r.directory.TakeGroup(group, directory.SourceProven)
+	r.directory.ApplyGroup(group, directory.SourceVerifiedPeer)
 	return true
 }
 
@@ -123,7 +123,7 @@
 	defer cancel()
 	request := connect.NewRequest(&replicav1.AppendRequest{})
 	request.Header().Set(processHeader, r.process)
-	response, err := r.quorum.At(address).Append(call, request)
+	response, err := r.quorum.ReplicaClient(address).Append(call, request)
 	return err == nil && response.Header().Get(processHeader) == r.process
 }
 
--- a/internal/replica/drains_test.go
+++ b/internal/replica/drains_test.go
@@ -19,12 +19,12 @@
 
 // unstartedReplica opens a folder and follows nothing.
 func unstartedReplica(t *testing.T, folder string) *Replica {
-	opened, err := New(Options{Node: "n", Zone: "z", Folder: folder, DrainsFollowed: true}, nil)
+	opened, err := New(Options{Node: "n", Zone: "z", DataFolder: folder, WatchZoneDrains: true}, nil)
 	require.NoError(t, err)
 	return opened
 }
 
-func TestAnOlderListOfDrainedZonesNeverReplacesTheKeptOne(t *testing.T) {
+func TestOlderDrainedZoneListIsIgnored(t *testing.T) {
 	opened := unstartedReplica(t, t.TempDir())
 	defer opened.state.log.Close()
 	require.NoError(t, opened.state.write(drainedZonesRecord(9, "a")))
@@ -34,9 +34,9 @@
 	require.Equal(t, []string{"a"}, opened.state.drainedZones.Zones)
 }
 
-// TestDrainedZonesHoldAfterALossOfPower offers what the folder holds to a process that
+// TestDrainedZonesSurvivePowerLoss offers what the folder holds to a process that
 // hears nothing else.
-func TestDrainedZonesHoldAfterALossOfPower(t *testing.T) {
+func TestDrainedZonesSurvivePowerLoss(t *testing.T) {
 	folder := t.TempDir()
 	opened := unstartedReplica(t, folder)
 	require.False(t, opened.directory.View().Drains.Known())
@@ -44,7 +44,7 @@
 		zones    []string
 		revision int64
 	}{{[]string{"a", "b"}, 4}, {nil, 7}, {[]string{"c"}, 9}} {
-		opened.directory.OfferZoneDrains(known.zones, known.revision)
+		opened.directory.ReplaceZoneDrains(known.zones, known.revision)
 		kept := func() bool {
 			opened.state.mutex.Lock()
 			defer opened.state.mutex.Unlock()
@@ -60,9 +60,9 @@
 	opened.state.log.Close()
 }
 
-// TestANewDrainWakesAWaitingQuestion asks with a patience that is longer than the test may
+// TestZoneDrainEndsWaitingDirectoryCall asks with a patience that is longer than the test may
 // take.
-func TestANewDrainWakesAWaitingQuestion(t *testing.T) {
+func TestZoneDrainEndsWaitingDirectoryCall(t *testing.T) {
 	state := directory.NewState(time.Now, nil)
 	asked := &service{
 		directory: state, roster: newRoster(time.Now), followers: newFollowed(), observations: newObservations(time.Now),
@@ -70,7 +70,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	state.OfferZoneDrains([]string{"a"}, 3)
+	state.ReplaceZoneDrains([]string{"a"}, 3)
 	ask := func(revision int64) *replicav1.DrainedZoneList {
 		request := &replicav1.DirectoryRequest{DrainedZonesRevision: revision, PatienceMs: uint32(time.Hour.Milliseconds())}
 		response, err := asked.Directory(ctx, connect.NewRequest(request))
@@ -82,7 +82,7 @@
 	for _, revision := range []int64{3, 2} {
 		go func() { answers <- ask(revision) }()
 		if revision == 3 {
-			state.OfferZoneDrains(nil, 5)
+			state.ReplaceZoneDrains(nil, 5)
 		}
 		answer := <-answers
 		require.EqualValues(t, 5, answer.Revision)
--- a/internal/replica/exchange.go
+++ b/internal/replica/exchange.go
@@ -34,8 +34,8 @@
 			return nil
 		}
 	}
-	voters := quorum.Voters(seen.group)
-	if len(partners) < max(quorum.RecoverSize(voters+1), quorum.WriteSize(voters)) {
+	voters := quorum.VoterCount(seen.group)
+	if len(partners) < max(quorum.RecoveryQuorum(voters+1), quorum.WriteQuorum(voters)) {
 		return nil
 	}
 	return partners
--- a/internal/replica/followers.go
+++ b/internal/replica/followers.go
@@ -92,8 +92,8 @@
 	return &replicav1.NodeRevisions{Nodes: f.replicasRevision, Retirements: f.retirementsRevision}
 }
 
-// Offer takes lists that another replica passed on; nil is none.
-func (f *followed) Offer(nodes *replicav1.NodeList, retirements *replicav1.RetirementList) {
+// Apply takes lists that another replica passed on; nil is none.
+func (f *followed) Apply(nodes *replicav1.NodeList, retirements *replicav1.RetirementList) {
 	if nodes != nil {
 		listing := directory.Listing{Revision: nodes.Revision}
 		for _, node := range nodes.Nodes {
--- a/internal/replica/foreign_test.go
+++ b/internal/replica/foreign_test.go
@@ -18,7 +18,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/transport/transporttest"
 )
 
-func TestNothingIsTakenOfAnAnnouncementOfAnotherSystem(t *testing.T) {
+func TestAnnouncementOfAnotherSystemIsRejected(t *testing.T) {
 	disk := recordlogtest.NewDisk()
 	opened, err := openState(disk)
 	require.NoError(t, err)
@@ -42,7 +42,7 @@
 	opened.log.Close()
 }
 
-func TestASystemIsNamedOnceForAllItsGroups(t *testing.T) {
+func TestAllGroupsShareSystemID(t *testing.T) {
 	require.NotZero(t, drawSystem())
 	layout := oneGroup(nodes("a", "b", "c"))
 	layout.System = drawSystem()
@@ -51,18 +51,18 @@
 }
 
 // A replica without records took the group of whoever announced itself first, and refused its own system's after that.
-func TestAReplicaWithoutRecordsTakesNoGroupOfAPeerThatIsNotProven(t *testing.T) {
+func TestReplicaWithoutRecordsIgnoresUnverifiedGroup(t *testing.T) {
 	opened, err := openState(recordlogtest.NewDisk())
 	require.NoError(t, err)
 	t.Cleanup(opened.log.Close)
 	hearing := &service{node: "a", state: opened, directory: directory.NewState(opened.now, nil), peers: newFailureDetector(opened.now)}
 	var held []*replicav1.Group
-	hearing.directory.HoldUnproven(func(group *replicav1.Group) { held = append(held, group) })
+	hearing.directory.SetUnverifiedGroupHandler(func(group *replicav1.Group) { held = append(held, group) })
 	message := &replicav1.AnnounceRequest{Group: oneGroup(nodes("a", "b", "c")), Node: "b"}
 	for _, proven := range []bool{false, true} {
 		if proven {
 			require.Equal(t, []*replicav1.Group{message.Group}, held)
-			hearing.directory.TakeGroup(held[0], directory.SourceProven)
+			hearing.directory.ApplyGroup(held[0], directory.SourceVerifiedPeer)
 		}
 		_, err = hearing.Announce(t.Context(), connect.NewRequest(message))
 		require.NoError(t, err)
@@ -85,10 +85,10 @@
 }
 
 // undiscovered is node a, in a process of that name, without records.
-func undiscovered(process string, store directory.Objects) *Replica {
+func undiscovered(process string, store directory.Store) *Replica {
 	state := directory.NewState(time.Now, nil)
 	r := &Replica{options: Options{Node: "a"}, process: process, directory: state, objects: store, unproven: make(chan *replicav1.Group, maxUnproven)}
-	state.HoldUnproven(r.holdUnproven)
+	state.SetUnverifiedGroupHandler(r.holdUnproven)
 	r.quorum = quorum.NewClient(state, "z", http.DefaultClient)
 	return r
 }
@@ -101,7 +101,7 @@
 }
 
 // A group is this replica's own where the address that it gives for the node leads to this process, directly or not.
-func TestAGroupIsProvenByAnAddressThatLeadsToThisProcess(t *testing.T) {
+func TestGroupIsVerifiedByAddressOfThisProcess(t *testing.T) {
 	const process = "own"
 	own, ofSameName := serveProcess(t, process), serveProcess(t, "another")
 	behindProxy, err := transporttest.NewProxy(own)
@@ -110,13 +110,13 @@
 	for address, proven := range map[string]bool{own: true, behindProxy.Address(): true, ofSameName: false, "127.0.0.1:1": false} {
 		r := undiscovered(process, nil)
 		require.Equal(t, proven, r.prove(t.Context(), groupAt(address)), address)
-		require.Equal(t, proven, r.directory.KnowsSystem(), address)
+		require.Equal(t, proven, r.directory.AcceptsPeerGroups(), address)
 	}
 }
 
 // blockedStore answers nobody before a test ends.
 type blockedStore struct {
-	directory.Objects
+	directory.Store
 	ended <-chan struct{}
 }
 
@@ -126,19 +126,19 @@
 }
 
 // Groups of another system that came first would have kept a replica without its disk from its own one while the store is silent.
-func TestGroupsThatCannotBeProvenKeepNoOwnOneWaiting(t *testing.T) {
+func TestUnverifiableGroupsDoNotBlockVerification(t *testing.T) {
 	const process = "own"
 	r := undiscovered(process, blockedStore{ended: t.Context().Done()})
 	foreign := groupAt(serveProcess(t, "another"))
 	for range 3 {
-		r.directory.OfferGroup(foreign, "b")
+		r.directory.ApplyPeerGroup(foreign, "b")
 	}
-	r.directory.OfferGroup(groupAt(serveProcess(t, process)), "b")
+	r.directory.ApplyPeerGroup(groupAt(serveProcess(t, process)), "b")
 	go r.proveGroups(t.Context())
-	require.Eventually(t, r.directory.KnowsSystem, time.Minute, time.Millisecond)
+	require.Eventually(t, r.directory.AcceptsPeerGroups, time.Minute, time.Millisecond)
 }
 
-func TestASystemOfAFormerReleaseIsNamedOnceEachMemberKeepsNames(t *testing.T) {
+func TestSystemIDIsAssignedOnceAllMembersStoreIt(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenAll(group, nodes("a", "b", "c"))
 	seen.keepsSystem = func(string) bool { return true }
--- a/internal/replica/form.go
+++ b/internal/replica/form.go
@@ -68,7 +68,7 @@
 	if running < formAfter+time.Duration(r.rank())*formStagger {
 		return false
 	}
-	return running > formAfter+lateRegions || regionsHeard(r.followers.nodes(), r.options.Regions)
+	return running > formAfter+lateRegions || regionsHeard(r.followers.nodes(), r.options.RegionOf)
 }
 
 // form creates the groups of a new system that are not there yet. Nodes that form
@@ -87,9 +87,9 @@
 		// The list of nodes has not come in yet.
 		return
 	}
-	founding := foundingGroups(nodes, r.options.Regions)
-	if table := r.directory.View().Table; table != nil && table.Confines() {
-		founding = append(founding, wholeConfined(founding, nodes, r.options.Regions)...)
+	founding := foundingGroups(nodes, r.options.RegionOf)
+	if table := r.directory.View().Table; table != nil && table.RestrictsRegions() {
+		founding = append(founding, wholeConfined(founding, nodes, r.options.RegionOf)...)
 	}
 	system := directory.SystemOf(known)
 	if system == 0 {
@@ -104,7 +104,7 @@
 		var taken *directory.Conflict
 		switch {
 		case err == nil:
-			r.directory.TakeGroup(group, directory.SourceSelf)
+			r.directory.ApplyGroup(group, directory.SourceSelf)
 		case group.Partition == 0 || !errors.As(err, &taken):
 			// Another node's first group, and with it the number of partitions, comes
 			// in with the watch.
@@ -130,7 +130,7 @@
 func (r *Replica) firstGroupMissing(ctx context.Context) bool {
 	found, exists, err := r.objects.Get(ctx, directory.KindGroup, directory.GroupName(0))
 	if exists {
-		r.directory.TakeGroup(found.Group, directory.SourceStore)
+		r.directory.ApplyGroup(found.Group, directory.SourceStore)
 	}
 	return err == nil && !exists
 }
--- a/internal/replica/form_test.go
+++ b/internal/replica/form_test.go
@@ -13,7 +13,7 @@
 
 // groupObjects is a platform's store that keeps groups.
 type groupObjects struct {
-	directory.Objects
+	directory.Store
 	mutex  sync.Mutex
 	groups map[string]*replicav1.Group
 }
@@ -36,8 +36,8 @@
 }
 
 // former returns a replica that starts with the whole system and knows the nodes.
-func former(t *testing.T, objects directory.Objects, node string, known []directory.Replica) *Replica {
-	created, err := New(Options{Node: node, Folder: t.TempDir(), Bootstrap: true}, objects)
+func former(t *testing.T, objects directory.Store, node string, known []directory.Replica) *Replica {
+	created, err := New(Options{Node: node, DataFolder: t.TempDir(), Bootstrap: true}, objects)
 	require.NoError(t, err)
 	t.Cleanup(func() { created.state.log.Close() })
 	listing := directory.Listing{Revision: 1}
@@ -48,8 +48,8 @@
 	return created
 }
 
-// TestNoGroupIsFormedBeforeTheNodesAreKnown: a group without members stands for ever.
-func TestNoGroupIsFormedBeforeTheNodesAreKnown(t *testing.T) {
+// TestNoGroupIsFormedBeforeNodesAreKnown: a group without members stands for ever.
+func TestNoGroupIsFormedBeforeNodesAreKnown(t *testing.T) {
 	objects := &groupObjects{groups: make(map[string]*replicav1.Group)}
 	early := former(t, objects, "n-0-0", nil)
 	early.form(t.Context())
@@ -59,9 +59,9 @@
 	require.Empty(t, objects.groups, "its own entry is not in the list yet")
 }
 
-// TestNodesThatFormTheGroupsAtTheSameTimeAgree has two nodes form them from different
+// TestConcurrentlyFormingNodesAgree has two nodes form them from different
 // lists.
-func TestNodesThatFormTheGroupsAtTheSameTimeAgree(t *testing.T) {
+func TestConcurrentlyFormingNodesAgree(t *testing.T) {
 	objects := &groupObjects{groups: make(map[string]*replicav1.Group)}
 	nodes := fleet(6, 6)
 	first, late := former(t, objects, "n-0-0", nodes), former(t, objects, "n-5-5", nodes[6:])
--- a/internal/replica/fulldisk_test.go
+++ b/internal/replica/fulldisk_test.go
@@ -15,18 +15,18 @@
 	return &replicav1.Record{Kind: &replicav1.Record_Turn{Turn: &replicav1.Turn{Id: id, Output: []byte("said " + id)}}, RetentionMs: 60_000}
 }
 
-// TestARecordThatAFullDiskRefusedIsNotAcknowledgedTheSecondTime writes the same
+// TestRepeatedWriteToFullDiskIsNotAcknowledged writes the same
 // record again, as gateways do, before and after there is room.
-func TestARecordThatAFullDiskRefusedIsNotAcknowledgedTheSecondTime(t *testing.T) {
+func TestRepeatedWriteToFullDiskIsNotAcknowledged(t *testing.T) {
 	disk := recordlogtest.NewDisk()
 	opened, err := openState(disk)
 	require.NoError(t, err)
-	disk.SetRoom(10)
+	disk.SetFreeBytes(10)
 	require.Error(t, opened.write(plainTurn("t")))
 	require.Error(t, opened.write(plainTurn("t")), "it is not on the disk")
-	disk.SetRoom(-1)
+	disk.SetFreeBytes(-1)
 	require.NoError(t, opened.write(plainTurn("t")))
-	after := disk.LosePower(rand.New(rand.NewPCG(1, 1)))
+	after := disk.AfterPowerLoss(rand.New(rand.NewPCG(1, 1)))
 	opened.log.Close()
 	again, err := openState(after)
 	require.NoError(t, err)
@@ -37,33 +37,33 @@
 	require.Equal(t, "said t", string(turns[0].Output))
 }
 
-// TestAFullDiskBoundsWhatIsOwed holds that refused records do not fill the memory.
-func TestAFullDiskBoundsWhatIsOwed(t *testing.T) {
+// TestPendingBytesAreBoundedOnFullDisk holds that refused records do not fill the memory.
+func TestPendingBytesAreBoundedOnFullDisk(t *testing.T) {
 	disk := recordlogtest.NewDisk()
 	opened, err := openState(disk)
 	require.NoError(t, err)
 	defer opened.log.Close()
-	disk.SetRoom(0)
+	disk.SetFreeBytes(0)
 	for n := range 40 {
 		big := plainTurn(string(rune('a' + n)))
 		big.GetTurn().Input = make([]byte, maxOwedBytes/4)
 		require.Error(t, opened.write(big))
 	}
-	require.Less(t, opened.log.Owed(), int64(2*maxOwedBytes))
-	disk.SetRoom(-1)
-	var behind *recordlog.Behind
+	require.Less(t, opened.log.UnwrittenBytes(), int64(2*maxOwedBytes))
+	disk.SetFreeBytes(-1)
+	var behind *recordlog.WriteBacklog
 	require.ErrorAs(t, opened.write(plainTurn("new")), &behind, "the first one only makes up for the others")
 	require.NoError(t, opened.write(plainTurn("new")))
 }
 
-// TestATurnThatCannotBeReadIsNotToldAsAbsent damages a turn on the disk.
-func TestATurnThatCannotBeReadIsNotToldAsAbsent(t *testing.T) {
+// TestUnreadableTurnIsNotReportedAsAbsent damages a turn on the disk.
+func TestUnreadableTurnIsNotReportedAsAbsent(t *testing.T) {
 	disk := recordlogtest.NewDisk()
 	opened, err := openState(disk)
 	require.NoError(t, err)
 	defer opened.log.Close()
 	require.NoError(t, opened.write(plainTurn("t")))
-	disk.Damage("0000000000000001.log", 20)
+	disk.FlipBit("0000000000000001.log", 20)
 	_, err = opened.chain(0, "t")
 	var damaged *recordlog.Damaged
 	require.ErrorAs(t, err, &damaged)
--- a/internal/replica/grants.go
+++ b/internal/replica/grants.go
@@ -76,7 +76,7 @@
 func (g *grants) sweep(ctx context.Context) {
 	for pause.For(ctx, forgetGrantsEvery) {
 		for _, granter := range g.granters {
-			granter.Forget(g.now())
+			granter.DropFull(g.now())
 		}
 	}
 }
@@ -93,13 +93,13 @@
 		return connect.NewResponse(response), nil
 	}
 	group := s.state.currentGroup(message.Partition)
-	granted := granter.Grant(s.grants.now(), quota.Ask{
+	granted := granter.Grant(s.grants.now(), quota.GrantRequest{
 		Tenant: message.Tenant, Limit: quota.Limit{Rate: message.Rate, Burst: message.Burst, Version: message.Version},
-		Members: max(int(group.GetTarget()), len(group.GetMembers())), Since: seat.since,
-		Wanted: int(message.Wanted), Opening: message.Opening,
+		Members: max(int(group.GetTarget()), len(group.GetMembers())), SeatSince: seat.since,
+		Wanted: int(message.Wanted), StartsProgram: message.Opening,
 	})
-	response.Granted, response.Plenty = uint32(granted.Requests), granted.Plenty
+	response.Granted, response.Plenty = uint32(granted.Requests), granted.NewProgramsAllowed
 	// Rounded up: a caller that comes back too soon asks once more.
-	response.AfterMs = uint32((granted.After + time.Millisecond - 1).Milliseconds())
+	response.AfterMs = uint32((granted.RetryAfter + time.Millisecond - 1).Milliseconds())
 	return connect.NewResponse(response), nil
 }
--- a/internal/replica/grants_kinds_test.go
+++ b/internal/replica/grants_kinds_test.go
@@ -21,9 +21,9 @@
 	return response.Msg.Granted
 }
 
-// TestKindsOfGrantsShareNothing holds that a tenant and a worker of the same name have
+// TestGrantKindsAreIndependent holds that a tenant and a worker of the same name have
 // buckets of their own, with the tolerance of their kind.
-func TestKindsOfGrantsShareNothing(t *testing.T) {
+func TestGrantKindsAreIndependent(t *testing.T) {
 	opened, err := openFolder(t.TempDir())
 	require.NoError(t, err)
 	t.Cleanup(opened.log.Close)
--- a/internal/replica/grants_test.go
+++ b/internal/replica/grants_test.go
@@ -10,8 +10,8 @@
 	"github.com/barleyshelf/barleyshelf/internal/quota"
 )
 
-// TestASeatBeginsWithNothingEachTimeItIsTaken follows a node through groups.
-func TestASeatBeginsWithNothingEachTimeItIsTaken(t *testing.T) {
+// TestSeatGrantsStartFromZeroOnEachClaim follows a node through groups.
+func TestSeatGrantsStartFromZeroOnEachClaim(t *testing.T) {
 	now := time.Unix(1000, 0)
 	held := newGrants("a", func() time.Time { return now }, quota.Tolerance{}, quota.Tolerance{})
 	group := func(claim uint64, nodes ...string) []*replicav1.Group {
--- a/internal/replica/keptworkers_test.go
+++ b/internal/replica/keptworkers_test.go
@@ -18,21 +18,21 @@
 	return directory.Change{Object: directory.Object{Name: id, Worker: &worker}}
 }
 
-// TestWhatIsKeptOfWorkersIsTheNewestList plays changes and lists, with steps that are written or
+// TestPersistedWorkersMatchNewestList plays changes and lists, with steps that are written or
 // left out, and reads the disk's records again.
-func TestWhatIsKeptOfWorkersIsTheNewestList(t *testing.T) {
+func TestPersistedWorkersMatchNewestList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := directory.NewState(time.Now, nil)
 		var kept keptWorkers
 		var disk []*replicav1.WorkerList
-		state.OfferWorkers([]directory.Worker{{ID: "a", Instance: "a", Service: "s"}}, 1)
+		state.ReplaceWorkers([]directory.Worker{{ID: "a", Instance: "a", Service: "s"}}, 1)
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			name := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "instance")
 			change := workerChange(name, step+1)
 			if rapid.Bool().Draw(t, "goes") {
 				change = directory.Change{Object: directory.Object{Name: name}, Deleted: true}
 			}
-			state.ChangeWorkers([]directory.Change{change}, int64(step+2))
+			state.ApplyWorkerChanges([]directory.Change{change}, int64(step+2))
 			if rapid.Bool().Draw(t, "written") {
 				list := state.WorkerChanges(kept.revision)
 				disk = append(disk, list)
@@ -61,18 +61,18 @@
 	})
 }
 
-// TestAChangeOfAWorkerWritesNoMoreAmongMore compares what the disk is given for one change.
-func TestAChangeOfAWorkerWritesNoMoreAmongMore(t *testing.T) {
+// TestWorkerChangeSizeIsIndependentOfWorkerCount compares what the disk is given for one change.
+func TestWorkerChangeSizeIsIndependentOfWorkerCount(t *testing.T) {
 	written := func(workers int) int {
 		state := directory.NewState(time.Now, nil)
 		var listed []directory.Worker
 		for i := range workers {
 			listed = append(listed, *workerChange(fmt.Sprintf("worker-%05d", i), 1).Object.Worker)
 		}
-		state.OfferWorkers(listed, 5)
+		state.ReplaceWorkers(listed, 5)
 		var kept keptWorkers
 		require.True(t, kept.take(state.WorkerChanges(kept.revision)))
-		state.ChangeWorkers([]directory.Change{workerChange("worker-00000", 2)}, 6)
+		state.ApplyWorkerChanges([]directory.Change{workerChange("worker-00000", 2)}, 6)
 		return proto.Size(state.WorkerChanges(kept.revision))
 	}
 	require.Equal(t, written(100), written(1000))
--- a/internal/replica/liveness_test.go
+++ b/internal/replica/liveness_test.go
@@ -103,7 +103,7 @@
 		p.must(err)
 		standings = append(standings, response.Msg.Standing)
 	}
-	return quorum.Choose(p.group.Epoch, standings, quorum.WriteSize(quorum.Voters(p.group))) != nil
+	return quorum.ChooseConsistent(p.group.Epoch, standings, quorum.WriteQuorum(quorum.VoterCount(p.group))) != nil
 }
 
 // runLiveness plays one schedule and returns why a group does not come back.
@@ -116,25 +116,25 @@
 	return fleet.stuckAfter(livenessRounds)
 }
 
-// TestTheGroupAlwaysComesBack searches for schedules after whose last fault the
+// TestGroupRecoversAfterLastFault searches for schedules after whose last fault the
 // group does not work again.
-func TestTheGroupAlwaysComesBack(t *testing.T) {
+func TestGroupRecoversAfterLastFault(t *testing.T) {
 	for seed := range uint64(livenessSchedules) {
 		require.Empty(t, runLiveness(newProof(t, seed, noBreakage).announce(seed)), fmt.Sprintf("seed %d", seed))
 	}
 }
 
-// TestEveryGroupOfSeveralPartitionsComesBack is the same search where nodes hold seats
+// TestAllPartitionsRecoverAfterLastFault is the same search where nodes hold seats
 // of several partitions.
-func TestEveryGroupOfSeveralPartitionsComesBack(t *testing.T) {
+func TestAllPartitionsRecoverAfterLastFault(t *testing.T) {
 	for seed := range uint64(livenessSchedules / partitionsPlayed) {
 		fleet := newProofFleet(t, seed, noBreakage, partitionsNodes, partitionsPlayed)
 		require.Empty(t, runLiveness(fleet.announce(seed)), fmt.Sprintf("seed %d", seed))
 	}
 }
 
-// TestAGroupThatDoesNotComeBackIsSeen runs the same search with one deliberate fault.
-func TestAGroupThatDoesNotComeBackIsSeen(t *testing.T) {
+// TestSimulationDetectsLostLiveness runs the same search with one deliberate fault.
+func TestSimulationDetectsLostLiveness(t *testing.T) {
 	requireSeen(t, livenessSchedules, func(t require.TestingT, seed uint64, broken breakage) string {
 		return runLiveness(newProof(t, seed, broken).proofFleet)
 	}, askOnce, noAnnouncements)
--- a/internal/replica/loans.go
+++ b/internal/replica/loans.go
@@ -44,7 +44,7 @@
 		return
 	}
 	for _, account := range accounts {
-		records = append(records, loan.Returned(account.Account, account.Retention)...)
+		records = append(records, loan.ReturnRecords(account.Account, account.Retention)...)
 	}
 	call, cancel := context.WithTimeout(ctx, returnLoansTimeout)
 	defer cancel()
@@ -72,10 +72,10 @@
 func (s *state) closeLapsed(partition uint32, seatLost bool) error {
 	return s.decide(partition, func(known *partitionState, write func(*replicav1.Record)) {
 		now := known.now()
-		known.book.Forget(now)
-		for _, account := range known.book.Lapsed(now, seatLost) {
+		known.book.PruneReturned(now)
+		for _, account := range known.book.ExpiredAccounts(now, seatLost) {
 			ended := known.book.Close(now, account.Program, &replicav1.LoanClosing{Loan: account.Loan}, 0)
-			if ended.New {
+			if ended.MustWrite {
 				write(accountRecord(partition, ended.Account, 0))
 			}
 		}
@@ -84,18 +84,18 @@
 
 // unreturned returns the closed accounts of a partition of which the majority was not told
 // from here.
-func (s *state) unreturned(partition uint32) []loan.Account {
+func (s *state) unreturned(partition uint32) []loan.RetainedAccount {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.partition(partition).book.Unreturned()
+	return s.partition(partition).book.UnreturnedAccounts()
 }
 
-func (s *state) returned(partition uint32, accounts []loan.Account) {
+func (s *state) returned(partition uint32, accounts []loan.RetainedAccount) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	book := s.partition(partition).book
 	for _, account := range accounts {
-		book.Returned(s.now(), account.Loan)
+		book.MarkReturned(s.now(), account.Loan)
 	}
 }
 
@@ -105,7 +105,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, each := range s.partitions {
-		if open, _ := each.book.Counts(); open > 0 || len(each.book.Unreturned()) > 0 {
+		if open, _ := each.book.Counts(); open > 0 || len(each.book.UnreturnedAccounts()) > 0 {
 			return true
 		}
 	}
@@ -158,7 +158,7 @@
 		c.open(call.Open)
 	case *replicav1.LoanRequest_Draw:
 		drawing := known.book.Draw(known.now(), c.request.Program, call.Draw)
-		c.response.Outcome, c.response.Left = drawing.Outcome, drawing.Left
+		c.response.Outcome, c.response.Left = drawing.Outcome, drawing.Remaining
 		c.write(drawing.Account, 0)
 	case *replicav1.LoanRequest_Close:
 		c.close(call.Close)
@@ -170,21 +170,21 @@
 	if c.known.identity.GetIncarnation() != opening.Incarnation {
 		return
 	}
-	account := c.known.book.Open(c.request.Program, opening)
+	account := c.known.book.NewAccount(c.request.Program, opening)
 	if account == nil {
 		return
 	}
 	c.write(account, opening.RetentionMs)
-	c.known.book.Opened(opening.Loan)
-	c.response.Outcome, c.response.Left = replicav1.LoanOutcome_LOAN_OUTCOME_DONE, loan.Left(account)
+	c.known.book.MarkOpened(opening.Loan)
+	c.response.Outcome, c.response.Left = replicav1.LoanOutcome_LOAN_OUTCOME_DONE, loan.Remaining(account)
 }
 
 // close ends a loan and tells what was drawn on it.
 func (c *loanCall) close(closing *replicav1.LoanClosing) {
 	ended := c.known.book.Close(c.known.now(), c.request.Program, closing, c.known.identity.GetIncarnation())
 	c.response.Outcome, c.response.Closed = ended.Outcome, ended.Account
-	c.response.AfterMs = uint32(ended.After.Milliseconds())
-	if ended.New {
+	c.response.AfterMs = uint32(ended.RetryAfter.Milliseconds())
+	if ended.MustWrite {
 		c.write(ended.Account, closing.RetentionMs)
 	}
 }
--- a/internal/replica/loans_schedules_test.go
+++ b/internal/replica/loans_schedules_test.go
@@ -53,7 +53,7 @@
 	return p.violation
 }
 
-func TestALoanIsNotClosedBeforeRoundsThatMissItAreOver(t *testing.T) {
+func TestLoanStaysOpenUntilConcurrentRoundsEnd(t *testing.T) {
 	require.Empty(t, overtakenByALoan(t, noBreakage))
 	require.NotEmpty(t, overtakenByALoan(t, earlyClosing))
 }
@@ -91,7 +91,7 @@
 	return p.violation
 }
 
-func TestADrawIsOnTheDiskBeforeItIsAnswered(t *testing.T) {
+func TestDrawIsSyncedBeforeItIsAnswered(t *testing.T) {
 	require.Empty(t, powerLossAfterDraws(t, noBreakage))
 	require.NotEmpty(t, powerLossAfterDraws(t, unsyncedDraw))
 }
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -51,7 +51,7 @@
 )
 
 func (r *Replica) defineGauges(registry *telemetry.Registry, bound *admission) {
-	r.feed.Report(registry)
+	r.feed.RegisterMetrics(registry)
 	registry.GaugeFunc(metricCallsRefused, func() float64 { return float64(bound.refused.Load()) })
 	registry.GaugeFunc(metricDrainsRevision, func() float64 { return float64(r.directory.View().Drains.Revision) })
 	registry.GaugeFunc(metricLoans, func() float64 { return float64(r.state.loans()) })
--- a/internal/replica/observations.go
+++ b/internal/replica/observations.go
@@ -57,16 +57,16 @@
 	workers := o.slots[len(o.slots)-1].workers
 	for _, each := range seen {
 		workers[each.Id] = sumOf(workers[each.Id], balance.Observation{
-			Worker: each.Id, Answers: int(each.Answers), Failures: int(each.Failures),
-			Paced: int(each.Paced), PaceSum: each.PaceSum,
+			Worker: each.Id, Responses: int(each.Answers), Failures: int(each.Failures),
+			LatencySamples: int(each.Paced), LatencyRatioSum: each.PaceSum,
 		})
 	}
 }
 
 func sumOf(one, other balance.Observation) balance.Observation {
 	return balance.Observation{
-		Worker: other.Worker, Answers: one.Answers + other.Answers, Failures: one.Failures + other.Failures,
-		Paced: one.Paced + other.Paced, PaceSum: one.PaceSum + other.PaceSum,
+		Worker: other.Worker, Responses: one.Responses + other.Responses, Failures: one.Failures + other.Failures,
+		LatencySamples: one.LatencySamples + other.LatencySamples, LatencyRatioSum: one.LatencyRatioSum + other.LatencyRatioSum,
 	}
 }
 
@@ -109,9 +109,9 @@
 
 // suspect judges one worker against what is typical of its service; 0 is not known.
 func suspect(seen balance.Observation, typical float64) bool {
-	ended := seen.Answers + seen.Failures
+	ended := seen.Responses + seen.Failures
 	failing := ended >= suspectSamples && float64(seen.Failures) >= suspectFailures*float64(ended)
-	slow := typical > 0 && seen.Paced >= suspectSamples && seen.PaceSum/float64(seen.Paced) > suspectFactor*typical
+	slow := typical > 0 && seen.LatencySamples >= suspectSamples && seen.LatencyRatioSum/float64(seen.LatencySamples) > suspectFactor*typical
 	return failing || slow
 }
 
@@ -120,8 +120,8 @@
 func typicalPace(service []balance.Observation) float64 {
 	var paces []float64
 	for _, seen := range service {
-		if seen.Paced >= suspectSamples {
-			paces = append(paces, seen.PaceSum/float64(seen.Paced))
+		if seen.LatencySamples >= suspectSamples {
+			paces = append(paces, seen.LatencyRatioSum/float64(seen.LatencySamples))
 		}
 	}
 	if len(paces) < suspectPeers {
--- a/internal/replica/observations_test.go
+++ b/internal/replica/observations_test.go
@@ -19,7 +19,7 @@
 		listed = append(listed, directory.Worker{ID: id, Instance: id, Service: "s"})
 	}
 	state := directory.NewState(time.Now, nil)
-	state.OfferWorkers(listed, 1)
+	state.ReplaceWorkers(listed, 1)
 	return state.View().Workers
 }
 
@@ -27,9 +27,9 @@
 	return &replicav1.WorkerObservation{Id: id, Answers: 1, Paced: 1, PaceSum: pace}
 }
 
-// TestAWorkerThatNoGatewaySeesOftenIsFoundSlowByAll: each of 40 gateways has at most one
+// TestSlowWorkerIsFoundFromCombinedObservations: each of 40 gateways has at most one
 // answer of it in two seconds, which says nothing to any of them alone.
-func TestAWorkerThatNoGatewaySeesOftenIsFoundSlowByAll(t *testing.T) {
+func TestSlowWorkerIsFoundFromCombinedObservations(t *testing.T) {
 	now := time.Unix(100, 0)
 	together := newObservations(func() time.Time { return now })
 	workers := watched(8)
@@ -48,7 +48,7 @@
 	require.Empty(t, together.suspects(workers), "it is tried again after a while")
 }
 
-func TestAWorkerThatFailsManyGatewaysOnceIsSuspected(t *testing.T) {
+func TestWorkerFailingManyGatewaysIsSuspected(t *testing.T) {
 	together := newObservations(time.Now)
 	for range suspectSamples {
 		together.add([]*replicav1.WorkerObservation{{Id: "w0", Failures: 1}, {Id: "w1", Answers: 3, Failures: 1}})
@@ -56,7 +56,7 @@
 	require.Equal(t, []string{"w0"}, together.suspects(watched(5)), "one in four is not enough")
 }
 
-func TestFewAnswersAreNoJudgement(t *testing.T) {
+func TestTooFewSamplesGiveNoSuspects(t *testing.T) {
 	together := newObservations(time.Now)
 	for i := range 5 {
 		for range suspectSamples {
@@ -69,7 +69,7 @@
 	require.Empty(t, together.suspects(watched(7)))
 }
 
-func TestAServiceThatIsSlowAsAWholeHasNoSuspects(t *testing.T) {
+func TestUniformlySlowServiceHasNoSuspects(t *testing.T) {
 	together := newObservations(time.Now)
 	for i := range 6 {
 		for range suspectSamples {
--- a/internal/replica/observe.go
+++ b/internal/replica/observe.go
@@ -45,7 +45,7 @@
 	own := r.options.Node
 	return observation{
 		group: group, nodes: r.followers.nodes(), retiring: r.followers.retiring(), seats: seatsHeld(r.directory.Groups()),
-		regions: r.options.Regions, zonesBorne: r.options.ZonesBorne,
+		regions: r.options.RegionOf, zonesBorne: r.options.ToleratedZoneFailures,
 		keepsSystem:  func(node string) bool { return node == own || r.peers.keepsSystem(node) },
 		removedHolds: r.peers.holdsRemovedSeat(group),
 		healthy:      func(node string) bool { return node == own || r.peers.healthy(node) },
--- a/internal/replica/oneround_test.go
+++ b/internal/replica/oneround_test.go
@@ -56,15 +56,15 @@
 	return p.violation
 }
 
-func TestAReservationThatOthersOvertakeIsNotGrantedBesideThem(t *testing.T) {
+func TestOvertakenReservationIsNotGranted(t *testing.T) {
 	require.Empty(t, overtakenReservation(t, noBreakage, 0), "the settlement must wait, and the round is read again")
 	require.Empty(t, overtakenReservation(t, noBreakage, proofSettle), "the round was long, and is read again")
 	require.NotEmpty(t, overtakenReservation(t, longRound, proofSettle))
 	require.NotEmpty(t, overtakenReservation(t, earlySettlement, 0))
 }
 
-// TestASumThatShowsOthersUnderWayIsNotEnough plays schedules that a search found.
-func TestASumThatShowsOthersUnderWayIsNotEnough(t *testing.T) {
+// TestOneRoundSumWithPendingReservationsIsRejected plays schedules that a search found.
+func TestOneRoundSumWithPendingReservationsIsRejected(t *testing.T) {
 	for _, seed := range []uint64{1207, 1402, 1471} {
 		require.NotEmpty(t, runOneRoundProof(t, seed, unsettledRound), seed)
 		require.Empty(t, runOneRoundProof(t, seed, noBreakage), seed)
--- a/internal/replica/partition.go
+++ b/internal/replica/partition.go
@@ -21,14 +21,14 @@
 	seen      map[uint32]uint64
 	// book is the accounts of loans that this folder holds. They are its own: no other
 	// replica copies them.
-	book *loan.Book
+	book *loan.AccountSet
 	now  func() time.Time
 }
 
 func newPartitionState(partition uint32, now func() time.Time) *partitionState {
 	return &partitionState{
 		partition: partition, store: turn.NewStore(), seen: make(map[uint32]uint64),
-		book: loan.NewBook(quorum.SettleDelay), now: now,
+		book: loan.NewAccountSet(quorum.SettleDelay), now: now,
 	}
 }
 
@@ -48,7 +48,7 @@
 		}
 		p.seen[kind.Incarnation.Seat] = kind.Incarnation.Incarnation
 	case *replicav1.Record_Group:
-		if p.group != nil && (p.group.Epoch >= kind.Group.Epoch || !directory.TakesGroup(p.group.System, kind.Group)) {
+		if p.group != nil && (p.group.Epoch >= kind.Group.Epoch || !directory.AcceptsGroup(p.group.System, kind.Group)) {
 			return false
 		}
 		p.takeGroup(kind.Group)
--- a/internal/replica/plan.go
+++ b/internal/replica/plan.go
@@ -188,7 +188,7 @@
 			left -= count
 		}
 	}
-	return left >= quorum.WriteSize(len(zones))
+	return left >= quorum.WriteQuorum(len(zones))
 }
 
 // staying returns how many members a group has beside the one that leaves.
@@ -265,6 +265,6 @@
 	}
 	policy := placement.RegionPolicy{Permitted: []string{region}, RegionOf: regionOf}
 	return slices.DeleteFunc(slices.Clone(nodes), func(node directory.Replica) bool {
-		return policy.Permit(placement.Turn, node.Zone) != nil
+		return policy.Check(placement.Turn, node.Zone) != nil
 	})
 }
--- a/internal/replica/plan_test.go
+++ b/internal/replica/plan_test.go
@@ -51,7 +51,7 @@
 	return names
 }
 
-func TestTheFirstGroupSpreadsOverZonesAndIsBounded(t *testing.T) {
+func TestInitialGroupSpreadsOverZonesAndIsBounded(t *testing.T) {
 	listed := nodes("a", "b", "c", "d", "e", "f", "g")
 	listed[1].Zone = listed[0].Zone
 	group := oneGroup(listed)
@@ -60,7 +60,7 @@
 	require.Equal(t, uint64(firstEpoch), group.Epoch)
 }
 
-func TestASettledGroupStaysAsItIs(t *testing.T) {
+func TestInSyncGroupIsUnchanged(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	require.Nil(t, nextGroup(seenAll(group, nodes("a", "b", "c"))))
 	largest := oneGroup(nodes("a", "b", "c", "d", "e"))
@@ -68,20 +68,20 @@
 }
 
 // A member that was told to leave took its vote along before one that stood by had any.
-func TestAGroupTakesInNodesThatStandByUntilItIsFull(t *testing.T) {
+func TestGroupAddsStandbysUntilFull(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	for _, more := range []string{"d", "e"} {
 		group = nextGroup(seenAll(group, nodes("a", "b", "c", "d", "e", "f")))
 		added := group.Members[len(group.Members)-1]
 		require.Equal(t, more, added.Node)
-		require.True(t, quorum.Joining(added))
+		require.True(t, quorum.IsJoining(added))
 		group = receivedGroup(group, added.Seat, 7)
 	}
 	require.Nil(t, nextGroup(seenAll(group, nodes("a", "b", "c", "d", "e", "f"))))
 }
 
 // A fourth member in one of three zones would take the majority along with that zone.
-func TestAGroupThatIsToBearALostZoneTakesNoMemberThatMakesItDependOnOne(t *testing.T) {
+func TestGroupAddsNoMemberThatBreaksZoneTolerance(t *testing.T) {
 	registered := nodes("a", "b", "c", "d")
 	registered[3].Zone = registered[0].Zone
 	seen := seenAll(oneGroup(registered[:3]), registered)
@@ -108,7 +108,7 @@
 	return group
 }
 
-func TestASilentMembersSeatGoesToANodeThatStandsBy(t *testing.T) {
+func TestUnresponsiveMemberIsReplacedByStandby(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenAll(group, nodes("a", "b", "c", "spare"))
 	seen.healthy, seen.settled = except("b"), except("b")
@@ -125,14 +125,14 @@
 	require.Nil(t, nextGroup(seen), "a silent member keeps its seat where none stands by")
 }
 
-func TestNothingChangesUntilTheOthersHoldEverything(t *testing.T) {
+func TestGroupIsUnchangedUntilOthersAreInSync(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenAll(group, nodes("a", "b", "c", "spare"))
 	seen.healthy, seen.settled = except("b"), except("b", "c")
 	require.Nil(t, nextGroup(seen))
 }
 
-func TestARetiringMemberLeavesWithOrWithoutAStandIn(t *testing.T) {
+func TestRetiringMemberLeavesWithOrWithoutStandby(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenAll(group, nodes("a", "b", "c", "spare"))
 	seen.retiring["a"] = true
@@ -156,7 +156,7 @@
 	require.Nil(t, nextGroup(last), "the last member holds what there is")
 }
 
-func TestAShrunkGroupGrowsAgain(t *testing.T) {
+func TestShrunkGroupGrowsAgain(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	removeSeat(group, 0)
 	next := nextGroup(seenAll(group, nodes("b", "c", "d")))
@@ -164,7 +164,7 @@
 	require.NotEqual(t, next.Members[2].Seat, next.Members[1].Seat)
 }
 
-func TestASeatInTransferKeepsTheHolderThatHasItsRecords(t *testing.T) {
+func TestSeatInTransferKeepsPredecessorWithRecords(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenAll(group, nodes("a", "b", "c", "d", "e"))
 	seen.healthy, seen.settled = except("a"), except("a")
@@ -183,7 +183,7 @@
 }
 
 // Made a new holder, it would drop what it holds for a copy of others that may have lost it.
-func TestANodeThatStillHoldsASeatInTransferGetsItBackAsItWas(t *testing.T) {
+func TestPredecessorRegainsSeatInTransferUnchanged(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenAll(group, nodes("a", "b", "c", "d"))
 	seen.healthy, seen.settled = except("a"), except("a")
--- a/internal/replica/proof_cuts_test.go
+++ b/internal/replica/proof_cuts_test.go
@@ -70,7 +70,7 @@
 	return p.stuckAfter(2 * livenessRounds)
 }
 
-func TestNothingIsLostWhereMembersThatAreCutOffLoseTheirSeats(t *testing.T) {
+func TestNothingIsLostWhenIsolatedMembersAreRemoved(t *testing.T) {
 	for seed := range uint64(cutSchedules) {
 		require.Empty(t, runCutsProof(t, seed, noBreakage), fmt.Sprintf("seed %d", seed))
 	}
@@ -79,6 +79,6 @@
 	})
 }
 
-func TestEachBreakageOfARemovalIsSeen(t *testing.T) {
+func TestSimulationDetectsEachRemovalMutation(t *testing.T) {
 	requireSeen(t, 10*cutSchedules, runCutsProof, forgetRemoved, skipExchange, ignoreSeen, skipFence)
 }
--- a/internal/replica/proof_departures_test.go
+++ b/internal/replica/proof_departures_test.go
@@ -119,7 +119,7 @@
 		return "one member is left"
 	}
 	for _, id := range d.acked {
-		if missing := d.missing(id); missing > quorum.Voters(group)-quorum.WriteSize(quorum.Voters(group)) {
+		if missing := d.missing(id); missing > quorum.VoterCount(group)-quorum.WriteQuorum(quorum.VoterCount(group)) {
 			return fmt.Sprintf("%s is missing at %d members of %d", id, missing, len(group.Members))
 		}
 	}
@@ -247,7 +247,7 @@
 	first := d.serial % len(members)
 	members = append(members[first:], members[:first]...)
 	for i, member := range members {
-		if node := d.nodes[member.Node]; !node.gone && (i < quorum.WriteSize(len(members)) || d.serial%3 == 0) {
+		if node := d.nodes[member.Node]; !node.gone && (i < quorum.WriteQuorum(len(members)) || d.serial%3 == 0) {
 			d.deliverTo(d.writes[len(d.writes)-1], node)
 		}
 	}
@@ -354,7 +354,7 @@
 	return plays
 }
 
-func TestARetirementMakesNothingWorseWhateverElseLeaves(t *testing.T) {
+func TestRetirementWithConcurrentDepartureIsTolerated(t *testing.T) {
 	for members := proofReplicas; members <= maxSeats; members++ {
 		t.Run(fmt.Sprintf("%d members", members), func(t *testing.T) {
 			t.Parallel()
@@ -371,7 +371,7 @@
 }
 
 // Neither of two that failed within the same seconds was replaced: each waited for the other to be settled.
-func TestTwoOfFiveMembersThatFailAtOnceAreReplacedOrRemoved(t *testing.T) {
+func TestTwoFailuresOfFiveMembersAreTolerated(t *testing.T) {
 	additions := [][]departureEvent{
 		nil, {{what: "add", node: "spare", round: 4}}, {{what: "add", node: "spare", round: 9}},
 		{{what: "add", node: "spare", round: 0}, {what: "add", node: "other", round: 9}},
--- a/internal/replica/proof_growth_test.go
+++ b/internal/replica/proof_growth_test.go
@@ -45,7 +45,7 @@
 }
 
 // A member that had joined lacked what was acknowledged after its copy, and with the next lost disk a turn was gone.
-func TestNothingIsLostWhereAGroupGrows(t *testing.T) {
+func TestNothingIsLostWhileGroupGrows(t *testing.T) {
 	for seats := uint32(proofReplicas); seats <= maxSeats; seats++ {
 		t.Run(fmt.Sprintf("to %d members", seats), func(t *testing.T) {
 			t.Parallel()
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAMemberThatCountsWithAnOldCopyIsSeen(t *testing.T) {
+func TestSimulationDetectsStaleJoiner(t *testing.T) {
 	requireSeen(t, growthSchedules, func(t require.TestingT, seed uint64, broken breakage) string {
 		return runGrowthProof(t, seed, broken, maxSeats)
 	}, joinAtReceipt)
--- a/internal/replica/proof_incident_test.go
+++ b/internal/replica/proof_incident_test.go
@@ -124,17 +124,17 @@
 	return &incident{proof: p}
 }
 
-// TestAGroupComesBackFromTheSequenceOfAnIncident plays the sequence of the incident that
+// TestGroupRecoversFromIncidentSequence plays the sequence of the incident that
 // is written up in docs/incidents/tintero-mvd-inc1.md.
-func TestAGroupComesBackFromTheSequenceOfAnIncident(t *testing.T) {
+func TestGroupRecoversFromIncidentSequence(t *testing.T) {
 	for seed := range uint64(incidentSchedules) {
 		require.Empty(t, newIncident(t, seed, noBreakage).play(), fmt.Sprintf("seed %d", seed))
 	}
 }
 
-// TestTheSequenceOfAnIncidentShowsItsLikelyCauses runs the same sequence with each fault
+// TestIncidentSequenceDetectsItsLikelyCauses runs the same sequence with each fault
 // that the landing had on which the incident was seen.
-func TestTheSequenceOfAnIncidentShowsItsLikelyCauses(t *testing.T) {
+func TestIncidentSequenceDetectsItsLikelyCauses(t *testing.T) {
 	requireSeen(t, incidentSchedules, func(t require.TestingT, seed uint64, broken breakage) string {
 		return newIncident(t, seed, broken).play()
 	}, countJoining, keepOwnSeat)
--- a/internal/replica/proof_loans_test.go
+++ b/internal/replica/proof_loans_test.go
@@ -314,7 +314,7 @@
 		return
 	}
 	each.returned = true
-	returned := loan.Returned(closed, 0)
+	returned := loan.ReturnRecords(closed, 0)
 	p.begin(returned[len(returned)-1])
 	if p.broken != dropDraws {
 		p.writes[len(p.writes)-1].before = returned[:len(returned)-1]
@@ -336,7 +336,7 @@
 	case earlyClosing:
 		present := p.nodes[lent.Holder.Node].state().currentIdentity(p.group.Partition).GetIncarnation()
 		ended := book.Close(p.now().Add(quorum.SettleDelay), lent.Program, closing, present)
-		if ended.New {
+		if ended.MustWrite {
 			p.must(p.nodes[lent.Holder.Node].state().write(accountRecord(p.group.Partition, ended.Account, 0)))
 		}
 		return ended.Account
@@ -355,7 +355,7 @@
 // forgetClosedLoans makes a state anew whose books lack the accounts that are closed.
 func forgetClosedLoans(opened *state) {
 	for _, partition := range opened.partitions {
-		kept := loan.NewBook(quorum.SettleDelay)
+		kept := loan.NewAccountSet(quorum.SettleDelay)
 		for _, account := range partition.book.Accounts() {
 			if !account.Closed {
 				kept.Apply(opened.now(), account.Account, account.Retention)
@@ -385,14 +385,14 @@
 	return ""
 }
 
-func TestNoBudgetIsOverdrawnByLoans(t *testing.T) {
+func TestLoansDoNotOverdrawBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		require.Empty(t, runLoanProof(t, rapid.Uint64().Draw(t, "seed"), noBreakage))
 	})
 }
 
-// TestEachBreakageOfLoansIsSeen plays schedules with one deliberate fault.
-func TestEachBreakageOfLoansIsSeen(t *testing.T) {
+// TestSimulationDetectsEachLoanMutation plays schedules with one deliberate fault.
+func TestSimulationDetectsEachLoanMutation(t *testing.T) {
 	requireSeen(t, 600, runLoanProof,
 		openAnyLife, settleOpenLoan, forgetClosing, loanAsNothing, dropDraws, closeUnknown, loanBeforeGrant,
 		settleUntold, refusedAgain,
@@ -409,7 +409,7 @@
 	for _, each := range p.lending.loans {
 		if closed := p.closed(each.reservation); closed != nil {
 			p.begin(&replicav1.Record{Kind: &replicav1.Record_Turn{Turn: &replicav1.Turn{Id: "after " + closed.Loan}}})
-			p.writes[len(p.writes)-1].before = loan.Returned(closed, 0)
+			p.writes[len(p.writes)-1].before = loan.ReturnRecords(closed, 0)
 			for _, member := range p.group.Members {
 				p.deliverTo(p.writes[len(p.writes)-1], p.nodes[member.Node])
 			}
@@ -440,9 +440,9 @@
 	return ""
 }
 
-// TestEveryLoanComesBackWhoseHolderIsThere searches for schedules after whose last fault
+// TestEveryLoanOfPresentHolderIsReturned searches for schedules after whose last fault
 // a loan counts for ever although its holder could give it back.
-func TestEveryLoanComesBackWhoseHolderIsThere(t *testing.T) {
+func TestEveryLoanOfPresentHolderIsReturned(t *testing.T) {
 	for seed := range uint64(300) {
 		p := newLoanProof(t, seed, noBreakage)
 		p.announce(seed)
@@ -455,8 +455,8 @@
 	}
 }
 
-// TestSchedulesWithLoansMeetWhatTheyAreAbout keeps the search from becoming empty.
-func TestSchedulesWithLoansMeetWhatTheyAreAbout(t *testing.T) {
+// TestLoanSchedulesExerciseLoans keeps the search from becoming empty.
+func TestLoanSchedulesExerciseLoans(t *testing.T) {
 	granted, returned, draws, settled := 0, 0, 0, 0
 	for seed := range uint64(20) {
 		p := newLoanProof(t, seed, noBreakage)
--- a/internal/replica/proof_planned_test.go
+++ b/internal/replica/proof_planned_test.go
@@ -92,7 +92,7 @@
 }
 
 // A member that left as planned gave its vote up before another one had it, and a closing fault in between was not borne.
-func TestAClosingFaultIsBorneAtEachStepOfAPlannedChange(t *testing.T) {
+func TestFinalFaultIsToleratedDuringPlannedDeparture(t *testing.T) {
 	for members := proofReplicas; members <= maxSeats; members++ {
 		for _, order := range []string{"stop", "retire"} {
 			t.Run(fmt.Sprintf("%d members, %s", members, order), func(t *testing.T) {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestAClosingFaultIsBorneAtEachStepOfASecondPlannedChange(t *testing.T) {
+func TestFinalFaultIsToleratedDuringSecondPlannedDeparture(t *testing.T) {
 	for _, first := range []string{"stop", "retire"} {
 		for _, second := range []string{"stop", "retire"} {
 			t.Run(first+", then "+second, func(t *testing.T) {
@@ -115,7 +115,7 @@
 }
 
 // A retirement was ordered and withdrawn while another member joined for it.
-func TestAClosingFaultIsBorneAfterAWithdrawnRetirement(t *testing.T) {
+func TestFinalFaultIsToleratedAfterCanceledRetirement(t *testing.T) {
 	for _, withdrawn := range []int{1, 2, 4, 7} {
 		t.Run(fmt.Sprintf("after %d rounds", withdrawn), func(t *testing.T) {
 			t.Parallel()
--- a/internal/replica/proof_records_test.go
+++ b/internal/replica/proof_records_test.go
@@ -100,7 +100,7 @@
 	}
 	write.standings = append(write.standings, standing)
 	write.entries = append(write.entries, response.Msg.Entries)
-	chosen := quorum.Choose(p.epoch(write.group), write.standings, quorum.WriteSize(quorum.Voters(write.group)))
+	chosen := quorum.ChooseConsistent(p.epoch(write.group), write.standings, quorum.WriteQuorum(quorum.VoterCount(write.group)))
 	if chosen == nil {
 		return
 	}
@@ -144,7 +144,7 @@
 	standing := p.standing(node, response.Msg.Standing)
 	write.standings = append(write.standings, standing)
 	write.entries = append(write.entries, response.Msg.Entries)
-	if chosen := quorum.Choose(p.epoch(write.group), write.standings, quorum.WriteSize(quorum.Voters(write.group))); chosen != nil {
+	if chosen := quorum.ChooseConsistent(p.epoch(write.group), write.standings, quorum.WriteQuorum(quorum.VoterCount(write.group))); chosen != nil {
 		ledger := p.ledger(write, chosen)
 		ledger.MergeLedger(write.first)
 		p.grant(write, ledger)
@@ -164,7 +164,7 @@
 	if write.loan != nil {
 		own = append(own, write.loan.GetReservation().Id)
 	}
-	return quorum.OneRound(write.first, took, proofRound, own...)
+	return quorum.OneRoundSuffices(write.first, took, proofRound, own...)
 }
 
 // ledger puts together what the chosen answers tell.
@@ -247,11 +247,11 @@
 		return
 	}
 	read.standings = append(read.standings, p.standing(node, response.Msg.Standing))
-	size := quorum.ReadSize(quorum.Voters(read.group))
+	size := quorum.ReadQuorum(quorum.VoterCount(read.group))
 	if p.broken == readMinority {
 		size--
 	}
-	if quorum.Choose(p.epoch(read.group), read.standings, size) != nil {
+	if quorum.ChooseConsistent(p.epoch(read.group), read.standings, size) != nil {
 		read.done = true
 		p.violation = "acknowledged turn " + read.id + " was told as unknown"
 	}
--- a/internal/replica/proof_recovery_test.go
+++ b/internal/replica/proof_recovery_test.go
@@ -125,7 +125,7 @@
 	case p.broken == recoverFromOne && len(pulled) > 0 && pulled[0].Member:
 		return pulled[:1]
 	case p.broken == skipFence:
-		if chosen := quorum.Choose(0, pulled, quorum.RecoverSize(quorum.Voters(group))); chosen != nil {
+		if chosen := quorum.ChooseConsistent(0, pulled, quorum.RecoveryQuorum(quorum.VoterCount(group))); chosen != nil {
 			return pulled
 		}
 		return nil
@@ -190,7 +190,7 @@
 // power is set.
 func (f *proofFleet) restart(node *proofNode, power bool) {
 	if power {
-		after := node.disk.LosePower(f.random)
+		after := node.disk.AfterPowerLoss(f.random)
 		node.state().log.Close()
 		node.disk = after
 	} else {
@@ -253,14 +253,14 @@
 // no loss. Only schedules with announcements play that, so that the others are those from
 // before.
 func (p *proof) joins(node *proofNode) bool {
-	return p.announcing && quorum.Joining(seatOf(p.group, node.name))
+	return p.announcing && quorum.IsJoining(seatOf(p.group, node.name))
 }
 
 // passedOn reports whether a member's predecessor still has what the seat held.
 func (p *proof) passedOn(node *proofNode) bool {
 	member := seatOf(p.group, node.name)
 	before := member.Predecessor
-	if !inTransfer(member) || quorum.Joining(member) || p.nodes[before.Node].gone {
+	if !inTransfer(member) || quorum.IsJoining(member) || p.nodes[before.Node].gone {
 		return false
 	}
 	identity := p.nodes[before.Node].state().currentIdentity(p.group.Partition)
--- a/internal/replica/proof_regions_test.go
+++ b/internal/replica/proof_regions_test.go
@@ -111,21 +111,21 @@
 	return ""
 }
 
-// TestConfinedPartitionsKeepTheirPromisesInTheirRegion plays lost disks, late words, nodes
+// TestConfinedPartitionsKeepGuaranteesWithinRegion plays lost disks, late words, nodes
 // that come and go, in either region: nothing acknowledged is lost, and nothing strays.
-func TestConfinedPartitionsKeepTheirPromisesInTheirRegion(t *testing.T) {
+func TestConfinedPartitionsKeepGuaranteesWithinRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		require.Empty(t, runRegionsProof(t, rapid.Uint64().Draw(t, "seed"), noBreakage))
 	})
 }
 
-func TestEachBreakageOfRegionsIsSeen(t *testing.T) {
+func TestSimulationDetectsEachRegionMutation(t *testing.T) {
 	requireSeen(t, 600, runRegionsProof, otherRegion, oldGroupRegion, skipSync, countEmpty, recoverFromOne, retireUnemptied)
 }
 
-// TestAConfinedGroupComesBackInItsRegion is the search of TestTheGroupAlwaysComesBack over
+// TestConfinedGroupRecoversWithinRegion is the search of TestGroupRecoversAfterLastFault over
 // two regions: no group waits for a node that may not take its seat.
-func TestAConfinedGroupComesBackInItsRegion(t *testing.T) {
+func TestConfinedGroupRecoversWithinRegion(t *testing.T) {
 	const seeds = 300
 	for seed := range uint64(seeds) {
 		fleet := newRegionsFleet(t, seed, noBreakage)
@@ -134,9 +134,9 @@
 	}
 }
 
-// TestAConfinedGroupNeverLeavesItsRegion changes a group again and again while nodes of all
+// TestConfinedGroupStaysWithinRegion changes a group again and again while nodes of all
 // regions fall silent, retire and come: a seat goes to a node of the region or to none.
-func TestAConfinedGroupNeverLeavesItsRegion(t *testing.T) {
+func TestConfinedGroupStaysWithinRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 3))
 		nodes, regionOf := regionsOfFleet(random)
--- a/internal/replica/proof_test.go
+++ b/internal/replica/proof_test.go
@@ -317,9 +317,9 @@
 	return ""
 }
 
-// TestFoundSchedules plays schedules that were found: each shows a fault that the
+// TestKnownFailureSchedules plays schedules that were found: each shows a fault that the
 // code once had, or nearly had, and is clean without it.
-func TestFoundSchedules(t *testing.T) {
+func TestKnownFailureSchedules(t *testing.T) {
 	for broken, seed := range map[breakage]uint64{
 		// Absence was concluded from one answer too few after a change of the group.
 		readMinority: 9,
@@ -349,25 +349,25 @@
 	})
 }
 
-// TestEachBreakageIsSeen runs the same schedules with one deliberate fault.
-func TestEachBreakageIsSeen(t *testing.T) {
+// TestSimulationDetectsEachMutation runs the same schedules with one deliberate fault.
+func TestSimulationDetectsEachMutation(t *testing.T) {
 	requireSeen(t, 600, runProof,
 		skipSync, countEmpty, dropReservation, readMinority, ignoreSeen, skipFence, sumBeforeWrite, forgetSeen, retireUnemptied, recoverFromOne,
 		anyPredecessor, earlyHolder, shrinkUnsettled,
 	)
 }
 
-// TestEachBreakageOfAPlannedChangeIsSeen runs schedules in which members keep their votes until others
+// TestSimulationDetectsEachPlannedRetirementMutation runs schedules in which members keep their votes until others
 // have theirs.
-func TestEachBreakageOfAPlannedChangeIsSeen(t *testing.T) {
+func TestSimulationDetectsEachPlannedRetirementMutation(t *testing.T) {
 	requireSeen(t, plannedSchedules, runPlannedProof,
 		skipSync, countEmpty, dropReservation, readMinority, ignoreSeen, skipFence, recoverFromOne, joinAtReceipt,
 	)
 }
 
-// TestEachBreakageIsSeenAmongSeveralPartitions runs those faults again where nodes hold
+// TestSimulationDetectsEachMutationWithSeveralPartitions runs those faults again where nodes hold
 // seats of several partitions, and the one that concerns only these.
-func TestEachBreakageIsSeenAmongSeveralPartitions(t *testing.T) {
+func TestSimulationDetectsEachMutationWithSeveralPartitions(t *testing.T) {
 	requireSeen(t, 600, runPartitionsProof,
 		skipSync, countEmpty, dropReservation, readMinority, ignoreSeen, skipFence, retireUnemptied, recoverFromOne, anyPartition,
 	)
--- a/internal/replica/proposals_test.go
+++ b/internal/replica/proposals_test.go
@@ -9,7 +9,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-func TestMembersProposeOneAfterAnother(t *testing.T) {
+func TestMembersProposeInRankOrder(t *testing.T) {
 	now := time.Unix(100, 0)
 	first, second := newProposals(func() time.Time { return now }), newProposals(func() time.Time { return now })
 	group := &replicav1.Group{Epoch: 4}
@@ -25,7 +25,7 @@
 	require.False(t, second.due(next, 1), "it was not wanted all the time")
 }
 
-func TestOnlyMembersThatAreAliveComeBeforeOne(t *testing.T) {
+func TestProposalRankCountsHealthyMembers(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c", "d"))
 	seen := seenAll(group, nodes("a", "b", "c", "d"))
 	require.Equal(t, 2, proposalRank(seen, "c"))
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -17,7 +17,7 @@
 		return
 	}
 	if found.Group.Epoch != group.Epoch {
-		r.directory.TakeGroup(found.Group, directory.SourceStore)
+		r.directory.ApplyGroup(found.Group, directory.SourceStore)
 		return
 	}
 	found.Group = next
@@ -27,7 +27,7 @@
 	}
 	eventProposed.Log("partition", next.Partition, "epoch", next.Epoch, "members", nodesOf(next.Members), "inTransfer", nodesOf(transfers(next)),
 		"removed", next.Removed.GetNode(), "system", next.System, "why", why)
-	r.directory.TakeGroup(next, directory.SourceSelf)
+	r.directory.ApplyGroup(next, directory.SourceSelf)
 	if next.Removed != nil {
 		// What follows waits until every member shows the epoch.
 		r.announceGroup(ctx, next)
--- a/internal/replica/pull.go
+++ b/internal/replica/pull.go
@@ -51,13 +51,13 @@
 func (r *Replica) pullPart(ctx context.Context, group *replicav1.Group, other *replicav1.Member, identity *replicav1.Identity, copied *sourceCopy) (*replicav1.PullResponse, error) {
 	call, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	response, err := r.quorum.At(other.Address).Pull(call, connect.NewRequest(&replicav1.PullRequest{
+	response, err := r.quorum.ReplicaClient(other.Address).Pull(call, connect.NewRequest(&replicav1.PullRequest{
 		Epoch: group.Epoch, Seat: identity.Seat, Incarnation: identity.Incarnation, Claim: identity.Claim,
 		After: copied.after, MaxBytes: uint32(copied.partBytes), Partition: group.Partition,
 	}))
 	if err != nil {
 		return nil, err
 	}
-	r.directory.OfferGroup(response.Msg.Standing.Group, other.Node)
+	r.directory.ApplyPeerGroup(response.Msg.Standing.Group, other.Node)
 	return response.Msg, r.state.write(response.Msg.Records...)
 }
--- a/internal/replica/receipt_test.go
+++ b/internal/replica/receipt_test.go
@@ -22,7 +22,7 @@
 }
 
 // Only the holder could say that it had received its seat, and the store turned it away.
-func TestAnyMemberProposesTheReceiptOfASeat(t *testing.T) {
+func TestAnyMemberProposesTransferCompletion(t *testing.T) {
 	seen := seenInTransfer(t)
 	seen.copied = func(string) uint64 { return 0 }
 	require.Nil(t, nextGroup(seen), "nothing has been copied")
@@ -38,7 +38,7 @@
 }
 
 // A copy that was complete began anew when its process was started again, while its sources had gone.
-func TestACompleteCopyOutlastsARestart(t *testing.T) {
+func TestCompleteCopySurvivesRestart(t *testing.T) {
 	disk := recordlogtest.NewDisk()
 	group := oneGroup(nodes("a", "b", "c"))
 	copied := &replicav1.Identity{Seat: 0, Claim: firstEpoch, Incarnation: 5, Copied: true}
--- a/internal/replica/reconcile.go
+++ b/internal/replica/reconcile.go
@@ -92,13 +92,13 @@
 func (r *Replica) announceTo(ctx context.Context, member *replicav1.Member, message *replicav1.AnnounceRequest) {
 	call, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	response, err := r.quorum.At(member.Address).Announce(call, connect.NewRequest(message))
+	response, err := r.quorum.ReplicaClient(member.Address).Announce(call, connect.NewRequest(message))
 	if err != nil {
 		// Its silence is what counts; the next announcement follows.
 		return
 	}
 	standing := response.Msg.Standing
-	r.directory.OfferGroup(standing.Group, member.Node)
+	r.directory.ApplyPeerGroup(standing.Group, member.Node)
 	if answering := response.Msg.Node; answering != "" && answering != member.Node {
 		// A node that has come to the address of one that is gone does not speak for it.
 		return
@@ -107,7 +107,7 @@
 		r.peers.observeStopping(member.Node)
 		return
 	}
-	r.peers.observeKeepsSystem(member.Node, quorum.KeepsSystem(response.Header()))
+	r.peers.observeKeepsSystem(member.Node, quorum.ReportsSystem(response.Header()))
 	r.peers.observeStanding(member.Node, message.Group.GetPartition(), standing)
 }
 
--- a/internal/replica/recover_test.go
+++ b/internal/replica/recover_test.go
@@ -22,7 +22,7 @@
 	return nextGroup(seen)
 }
 
-func TestASeatIsCopiedOnlyFromAHolderThatCanAcknowledgeNothingMore(t *testing.T) {
+func TestSeatIsCopiedOnlyFromFencedPredecessor(t *testing.T) {
 	group := transferred()
 	member := group.Members[0]
 	good := func() *replicav1.Standing {
@@ -48,10 +48,10 @@
 	require.Len(t, recoverySources(group, member), 3)
 }
 
-// TestANodeForgetsWhomItSawInASeatThatItTakes: it was told of the holder before, kept
+// TestNewHolderForgetsIncarnationsSeenInItsSeat: it was told of the holder before, kept
 // that, and no majority with it ever counted together (RECOVER on hofbauer-nom scale-1,
 // after the two other members had lost a disk and a machine).
-func TestANodeForgetsWhomItSawInASeatThatItTakes(t *testing.T) {
+func TestNewHolderForgetsIncarnationsSeenInItsSeat(t *testing.T) {
 	disk := recordlogtest.NewDisk()
 	opened, err := openState(disk)
 	require.NoError(t, err)
@@ -74,9 +74,9 @@
 	require.False(t, quorum.Consistent(2, []*replicav1.Standing{again.standing(0, 2)}), "also after a restart")
 }
 
-// TestALateWordOfAFormerHolderChangesNothing: it comes when the seat has moved on, also
+// TestLateAnnouncementOfFormerHolderIsIgnored: it comes when the seat has moved on, also
 // at the node that holds it now.
-func TestALateWordOfAFormerHolderChangesNothing(t *testing.T) {
+func TestLateAnnouncementOfFormerHolderIsIgnored(t *testing.T) {
 	opened, err := openState(recordlogtest.NewDisk())
 	require.NoError(t, err)
 	defer opened.log.Close()
@@ -96,15 +96,15 @@
 	require.Empty(t, opened.standing(0, 2).Seen)
 }
 
-// TestAGroupThatGrowsBearsTheLossOfADisk: a group of two grew to three, one of the two lost
+// TestGrowingGroupToleratesDiskLoss: a group of two grew to three, one of the two lost
 // its disk before the third had copied anything, and two of three were nothing for ever
 // (RECOVER on hofbauer-nom scale-1, seconds 21 to 24).
-func TestAGroupThatGrowsBearsTheLossOfADisk(t *testing.T) {
+func TestGrowingGroupToleratesDiskLoss(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	removeSeat(group, 0)
 	grown := nextGroup(seenAll(group, nodes("b", "c", "d")))
 	require.Equal(t, []string{"b", "c", "d"}, memberNames(grown))
-	require.Equal(t, 2, quorum.Voters(grown), "the new one counts once it has received what the others hold")
+	require.Equal(t, 2, quorum.VoterCount(grown), "the new one counts once it has received what the others hold")
 
 	left := &replicav1.Standing{
 		Epoch: grown.Epoch, Member: true, Recovered: true, Seat: grown.Members[1].Seat, Incarnation: 7,
@@ -115,5 +115,5 @@
 	require.Len(t, recoverySources(grown, grown.Members[0]), 1, "a new one has nothing to give")
 
 	joined := receivedGroup(grown, grown.Members[2].Seat, 9)
-	require.Equal(t, 3, quorum.Voters(joined))
+	require.Equal(t, 3, quorum.VoterCount(joined))
 }
--- a/internal/replica/removal_test.go
+++ b/internal/replica/removal_test.go
@@ -19,7 +19,7 @@
 }
 
 // Its vote was missing for a majority once another member had lost its disk.
-func TestAMemberThatIsLostKeepsNoVote(t *testing.T) {
+func TestFailedMemberLosesItsVote(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	next := nextGroup(lostMember(group, "b", "a", "b", "c"))
 	require.Equal(t, []string{"a", "c"}, memberNames(next))
@@ -34,17 +34,17 @@
 	require.Equal(t, []string{"a", "c"}, memberNames(complete))
 	back := nextGroup(seenAll(complete, nodes("a", "b", "c")))
 	require.Equal(t, []string{"a", "c", "b"}, memberNames(back))
-	require.True(t, quorum.Joining(back.Members[2]))
+	require.True(t, quorum.IsJoining(back.Members[2]))
 }
 
-func TestALostMemberStaysWhereNoTwoOthersHoldEverything(t *testing.T) {
+func TestFailedMemberStaysUnlessTwoOthersAreInSync(t *testing.T) {
 	require.Nil(t, nextGroup(lostMember(oneGroup(nodes("a", "b")), "b", "a", "b")))
 	seen := lostMember(oneGroup(nodes("a", "b", "c")), "b", "a", "b", "c")
 	seen.settled = except("b", "c")
 	require.Nil(t, nextGroup(seen))
 }
 
-func TestALostMemberThatNeverCountedIsNotCopied(t *testing.T) {
+func TestFailedJoiningMemberIsNotACopySource(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	addMember(group, nodes("d")[0])
 	group.Members[3].Predecessor = &replicav1.Predecessor{}
@@ -53,7 +53,7 @@
 	require.Nil(t, next.Removed)
 }
 
-func TestAnEmptyMemberCopiesAsManyAsBeforeUntilARemovalIsComplete(t *testing.T) {
+func TestRecoveryNeedsRemovedMemberUntilExchangeCompletes(t *testing.T) {
 	group := nextGroup(lostMember(oneGroup(nodes("a", "b", "c")), "b", "a", "b", "c"))
 	standing := func(seat uint32, member bool) *replicav1.Standing {
 		return &replicav1.Standing{Epoch: group.Epoch, Member: member, Recovered: true, Seat: seat, Claim: firstEpoch, Incarnation: uint64(seat) + 7}
@@ -67,7 +67,7 @@
 	require.Len(t, enoughToRecover(group, group.Members[0], []*replicav1.Standing{other}), 1)
 }
 
-func TestANodeIsLostOnceItHasBeenSilentForLong(t *testing.T) {
+func TestNodeFailsAfterFailureTimeout(t *testing.T) {
 	now := time.Unix(1000, 0)
 	peers := newFailureDetector(func() time.Time { return now })
 	peers.observe("a")
@@ -84,7 +84,7 @@
 }
 
 // One that had been frozen took the first member that was slow to answer it for lost.
-func TestAProcessThatWasPausedTakesNobodyForLost(t *testing.T) {
+func TestPausedProcessReportsNoFailures(t *testing.T) {
 	now := time.Unix(1000, 0)
 	peers := newFailureDetector(func() time.Time { return now })
 	peers.observe("a")
@@ -101,7 +101,7 @@
 }
 
 // A group of two rested for good where a member had gone and its successor came later.
-func TestAGroupOfTwoPassesTheSeatOfALostMemberOn(t *testing.T) {
+func TestGroupOfTwoReplacesFailedMember(t *testing.T) {
 	seen := lostMember(oneGroup(nodes("a", "b")), "b", "a", "b", "c")
 	require.Equal(t, []string{"a", "c"}, memberNames(nextGroup(seen)))
 	seen.group.Removed = &replicav1.Member{Node: "d", Seat: 2}
@@ -109,7 +109,7 @@
 }
 
 // A group that was formed before the third node came stayed one of two.
-func TestAGroupGrowsToThreeHoweverFewItWasFormedWith(t *testing.T) {
+func TestGroupGrowsToMinimumSize(t *testing.T) {
 	next := nextGroup(seenAll(oneGroup(nodes("a", "b")), nodes("a", "b", "c", "d")))
 	require.Equal(t, []string{"a", "b", "c"}, memberNames(next))
 	require.Equal(t, uint32(2), next.Target, "what gateways wait for at the start stays as it was")
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -47,42 +47,42 @@
 	Node, Zone string
 	// Address is the IP and port that the service listens on.
 	Address string
-	// Folder is the data folder.
-	Folder string
-	// Disk replaces Folder, for tests.
-	Disk recordlog.Files
+	// DataFolder is the data folder.
+	DataFolder string
+	// Files replaces Folder, for tests.
+	Files recordlog.FileSystem
 	// Bootstrap is set only when the whole system starts for the first time.
 	Bootstrap bool
 	// Seeds are addresses of replicas that may be stale.
 	Seeds []string
-	// Metrics is the IP:port for metrics; empty serves none.
-	Metrics string
-	// Quota is by how much tenants' requests may exceed their limits.
-	Quota quota.Tolerance
-	// Regions names the region of each zone.
-	Regions map[string]string
-	// DrainsFollowed is set where operators may drain zones.
-	DrainsFollowed bool
-	// ColdTolerance is by how much requests may exceed what a cold worker bears.
-	ColdTolerance quota.Tolerance
-	// ZonesBorne is how many zones may be lost at once with service going on.
-	ZonesBorne int
-	// Grace is how long a planned stop may take.
-	Grace time.Duration
-	// Disabled are mechanisms that an experiment leaves out.
-	Disabled mechanism.Disabled
+	// MetricsAddress is the IP:port for metrics; empty serves none.
+	MetricsAddress string
+	// TenantTolerance is by how much tenants' requests may exceed their limits.
+	TenantTolerance quota.Tolerance
+	// RegionOf names the region of each zone.
+	RegionOf map[string]string
+	// WatchZoneDrains is set where operators may drain zones.
+	WatchZoneDrains bool
+	// ColdWorkerTolerance is by how much requests may exceed what a cold worker bears.
+	ColdWorkerTolerance quota.Tolerance
+	// ToleratedZoneFailures is how many zones may be lost at once with service going on.
+	ToleratedZoneFailures int
+	// ShutdownGracePeriod is how long a planned stop may take.
+	ShutdownGracePeriod time.Duration
+	// DisabledMechanisms are mechanisms that an experiment leaves out.
+	DisabledMechanisms mechanism.Disabled
 }
 
 // Replica is a running replica.
 type Replica struct {
 	options         Options
-	objects         directory.Objects
+	objects         directory.Store
 	directory       *directory.State
-	feed            *directory.Feed
+	feed            *directory.Watcher
 	followers       *followed
 	peers           *failureDetector
 	quorum          *quorum.Client
-	relay           *quorum.Relay
+	relay           *quorum.DirectoryPoller
 	state           *state
 	grants          *grants
 	underReplicated *underReplicatedGroups
@@ -107,14 +107,14 @@
 }
 
 // New opens the data folder.
-func New(options Options, objects directory.Objects) (*Replica, error) {
+func New(options Options, objects directory.Store) (*Replica, error) {
 	opened, err := openRecords(options)
 	if err != nil {
 		return nil, err
 	}
 	replica := &Replica{
 		options: options, objects: objects, state: opened, followers: newFollowed(), peers: newFailureDetector(time.Now),
-		grants:          newGrants(options.Node, time.Now, options.Quota, options.ColdTolerance),
+		grants:          newGrants(options.Node, time.Now, options.TenantTolerance, options.ColdWorkerTolerance),
 		underReplicated: newUnderReplicatedGroups(time.Now), copies: make(chan struct{}, maxCopies), proposals: newProposals(time.Now), standbys: newStandbySearch(), handOvers: make(map[handOverKey]handOver), exchanges: make(map[uint32]*exchange),
 		process: rand.Text(), unproven: make(chan *replicav1.Group, maxUnproven),
 	}
@@ -125,18 +125,18 @@
 		replica.keep(view)
 		replica.keepZoneDrains(view)
 	})
-	replica.directory.HoldUnproven(replica.holdUnproven)
-	replica.feed = directory.NewFeed(objects, replica.directory, directory.PassingOn)
-	if options.DrainsFollowed {
+	replica.directory.SetUnverifiedGroupHandler(replica.holdUnproven)
+	replica.feed = directory.NewWatcher(objects, replica.directory, directory.ReplicaTimings)
+	if options.WatchZoneDrains {
 		// The watch of the configuration is short, and cuts this one short where it fails.
-		replica.feed.FollowZoneDrains(directory.LongWait)
+		replica.feed.EnableZoneDrains(directory.WatchTimeout)
 	}
 	client := transport.NewPeerClient(transport.Options{DialTimeout: dialTimeout, UserTimeout: userTimeout}, peerConnections)
 	replica.quorum = quorum.NewClient(replica.directory, options.Zone, client)
-	replica.quorum.Locate(replica.places())
-	replica.quorum.Confine(options.Regions)
+	replica.quorum.SetTopology(replica.places())
+	replica.quorum.SetZoneRegions(options.RegionOf)
 	replica.seeds.Store(&options.Seeds)
-	replica.relay = quorum.NewRelay(replica.quorum, replica.directory, quorum.RelayOptions{
+	replica.relay = quorum.NewDirectoryPoller(replica.quorum, replica.directory, quorum.DirectoryPollerOptions{
 		Seeds: options.Seeds, Nodes: replica.followers, Sources: replica.otherWatchers,
 	})
 	replica.offerKept()
@@ -144,28 +144,30 @@
 }
 
 // places returns how far zones are from this replica's.
-func (r *Replica) places() distance.Places { return distance.NewPlaces(r.options.Zone, r.regions()) }
+func (r *Replica) places() distance.Topology {
+	return distance.NewTopology(r.options.Zone, r.regions())
+}
 
 // regions names the region of each zone, for what depends on distance.
 func (r *Replica) regions() map[string]string {
-	if r.options.Disabled.Has(mechanism.Distance) {
+	if r.options.DisabledMechanisms.Has(mechanism.RegionPreference) {
 		return nil
 	}
-	return r.options.Regions
+	return r.options.RegionOf
 }
 
-// Reload puts changed seeds in force.
-func (r *Replica) Reload(seeds []string) {
+// SetSeeds puts changed seeds in force.
+func (r *Replica) SetSeeds(seeds []string) {
 	r.seeds.Store(&seeds)
 	r.relay.SetSeeds(seeds)
 }
 
 // openRecords opens the log of the data folder, or of what replaces it.
 func openRecords(options Options) (*state, error) {
-	if options.Disk != nil {
-		return openState(options.Disk)
+	if options.Files != nil {
+		return openState(options.Files)
 	}
-	return openFolder(options.Folder)
+	return openFolder(options.DataFolder)
 }
 
 // openFolder opens the log. Of a damaged one nothing is used: the replica
@@ -174,7 +176,7 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, &failure.DiskFailed{Cause: err}
 	}
-	opened, err := openState(recordlog.Folder(folder))
+	opened, err := openState(recordlog.Directory(folder))
 	var damaged *recordlog.Damaged
 	if !errors.As(err, &damaged) {
 		return opened, err
@@ -183,11 +185,11 @@
 	if err := removeAll(folder); err != nil {
 		return nil, &failure.DiskFailed{Cause: err}
 	}
-	return openState(recordlog.Folder(folder))
+	return openState(recordlog.Directory(folder))
 }
 
 func removeAll(folder string) error {
-	names, err := recordlog.Folder(folder).List()
+	names, err := recordlog.Directory(folder).List()
 	if err != nil {
 		return err
 	}
@@ -203,17 +205,17 @@
 // the platform tells newer ones.
 func (r *Replica) offerKept() {
 	for _, group := range r.state.currentGroups() {
-		r.directory.TakeGroup(group, directory.SourceDisk)
+		r.directory.ApplyGroup(group, directory.SourceDisk)
 	}
-	r.directory.OfferDrainedZoneList(r.state.drainedZones)
-	r.directory.OfferWorkerList(r.state.workers.list())
+	r.directory.ApplyDrainedZoneList(r.state.drainedZones)
+	r.directory.ApplyWorkerList(r.state.workers.list())
 	kept := r.state.configuration
 	if kept == nil {
 		return
 	}
 	configuration := &route.Configuration{}
 	if err := json.Unmarshal(kept.Document, configuration); err == nil {
-		r.directory.OfferConfiguration(configuration)
+		r.directory.ApplyConfiguration(configuration)
 	}
 }
 
@@ -307,15 +309,15 @@
 	bound := newAdmission(mux)
 	registry := telemetry.NewRegistry()
 	r.defineGauges(registry, bound)
-	r.quorum.Meter(traffic.New(registry))
-	if err := telemetry.Serve(ctx, r.options.Metrics, registry, r.readiness); err != nil {
+	r.quorum.MeterTraffic(traffic.New(registry))
+	if err := telemetry.Serve(ctx, r.options.MetricsAddress, registry, r.readiness); err != nil {
 		return err
 	}
 	handler := &service{
 		node: r.options.Node, stopping: r.stopping.Load, state: r.state, directory: r.directory, peers: r.peers, roster: newRoster(time.Now).among(r.regions()), age: r.storeReportAge, followers: r.followers,
 		observations: newObservations(time.Now), grants: r.grants,
 	}
-	handling := append(transport.HandlerOptions(maxMessageBytes), connect.WithInterceptors(quorum.CheckCallers(r.directory), identifyProcess(r.process)))
+	handling := append(transport.HandlerOptions(maxMessageBytes), connect.WithInterceptors(quorum.VerifyCallerSystem(r.directory), identifyProcess(r.process)))
 	mux.Handle(replicav1connect.NewReplicaServiceHandler(handler, handling...))
 	server := &http.Server{Handler: bound, WriteTimeout: transport.PeerWriteTimeout}
 	go func() {
--- a/internal/replica/restart_test.go
+++ b/internal/replica/restart_test.go
@@ -26,12 +26,12 @@
 	}}
 }
 
-// TestARestartKeepsTheIncarnationThatWasAgreed: a node received its seat, the group that says
+// TestRestartKeepsAgreedIncarnation: a node received its seat, the group that says
 // so was agreed, and its process ended before it knew. Started again it goes on from the group
 // on its disk, which is older. A new incarnation there would be one that nobody agreed on: the
 // node would count among the members with nothing received, and the loss of another disk
 // would leave one whole member of three.
-func TestARestartKeepsTheIncarnationThatWasAgreed(t *testing.T) {
+func TestRestartKeepsAgreedIncarnation(t *testing.T) {
 	disk := recordlogtest.NewDisk()
 	group := transferred()
 	taken := &replicav1.Identity{Seat: group.Members[0].Seat, Claim: group.Members[0].Claim, Incarnation: 33}
@@ -53,7 +53,7 @@
 }
 
 // It would have contradicted itself for ever.
-func TestASeatThatComesBackForgetsWhoWasSeenInItMeanwhile(t *testing.T) {
+func TestRegainedSeatForgetsSeenIncarnation(t *testing.T) {
 	opened, err := openState(recordlogtest.NewDisk())
 	require.NoError(t, err)
 	defer opened.log.Close()
--- a/internal/replica/retire.go
+++ b/internal/replica/retire.go
@@ -105,14 +105,14 @@
 		}
 		call, cancel := context.WithTimeout(ctx, pullTimeout)
 		request := &replicav1.AppendRequest{Epoch: group.Epoch, Partition: group.Partition, Records: records}
-		response, err := r.quorum.At(member.Address).Append(call, connect.NewRequest(request))
+		response, err := r.quorum.ReplicaClient(member.Address).Append(call, connect.NewRequest(request))
 		cancel()
 		if err != nil {
 			return false
 		}
 		standing := response.Msg.Standing
 		if !standing.Member || !standing.Recovered || standing.Epoch != group.Epoch {
-			r.directory.OfferGroup(standing.Group, member.Node)
+			r.directory.ApplyPeerGroup(standing.Group, member.Node)
 			return false
 		}
 		if done.incarnation != standing.Incarnation {
--- a/internal/replica/roster.go
+++ b/internal/replica/roster.go
@@ -70,8 +70,8 @@
 // another region, and the others are of its own region as far as there are any.
 func (r *roster) near(forwarder, zone string) []string {
 	others := r.others(forwarder)
-	places := distance.NewPlaces(zone, r.regions)
-	if !places.SeveralRegions() {
+	places := distance.NewTopology(zone, r.regions)
+	if !places.MultiRegion() {
 		return others[:min(rosterShare, len(others))]
 	}
 	var by [distance.OtherRegion + 1][]string
--- a/internal/replica/roster_test.go
+++ b/internal/replica/roster_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEachGatewayIsToldOfAFewOthers(t *testing.T) {
+func TestEachGatewayLearnsAFewOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	one, other := newRoster(func() time.Time { return now }), newRoster(func() time.Time { return now })
 	one.note("", "")
@@ -34,9 +34,9 @@
 	require.Equal(t, []string{"g7"}, one.near("g3", ""), "those that are gone are forgotten")
 }
 
-// TestAGatewayIsToldOfOneInAnotherZoneAndOneElsewhere holds for each gateway of three
+// TestForwardersIncludeOtherZoneAndOtherRegion holds for each gateway of three
 // regions.
-func TestAGatewayIsToldOfOneInAnotherZoneAndOneElsewhere(t *testing.T) {
+func TestForwardersIncludeOtherZoneAndOtherRegion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	regions := map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 	heard := newRoster(func() time.Time { return now }).among(regions)
--- a/internal/replica/service.go
+++ b/internal/replica/service.go
@@ -103,12 +103,12 @@
 	partition := message.Group.GetPartition()
 	newest := s.state.currentGroup(partition)
 	own := directory.SystemOf([]*replicav1.Group{newest, directory.AnyGroup(s.directory.Groups())})
-	if newest == nil && !s.directory.KnowsSystem() {
-		s.directory.OfferGroup(message.Group, message.Node)
+	if newest == nil && !s.directory.AcceptsPeerGroups() {
+		s.directory.ApplyPeerGroup(message.Group, message.Node)
 		message = &replicav1.AnnounceRequest{Node: message.Node, Stopping: message.Stopping}
 	}
-	if message.Group != nil && !directory.TakesGroup(own, message.Group) {
-		s.directory.OfferGroup(message.Group, message.Node)
+	if message.Group != nil && !directory.AcceptsGroup(own, message.Group) {
+		s.directory.ApplyPeerGroup(message.Group, message.Node)
 		return nil, connect.NewError(connect.CodeFailedPrecondition, &directory.ForeignSystem{Own: own, Other: message.Group.System})
 	}
 	if message.Group.GetEpoch() > newest.GetEpoch() {
@@ -129,7 +129,7 @@
 	if err := s.state.write(records...); err != nil {
 		return nil, connect.NewError(connect.CodeResourceExhausted, err)
 	}
-	s.directory.OfferGroup(s.state.currentGroup(partition), message.Node)
+	s.directory.ApplyPeerGroup(s.state.currentGroup(partition), message.Node)
 	return connect.NewResponse(&replicav1.AnnounceResponse{Node: s.node, Stopping: s.stopping != nil && s.stopping(), Standing: s.state.standing(partition, 0)}), nil
 }
 
@@ -148,7 +148,7 @@
 	until := time.NewTimer(time.Duration(request.Msg.PatienceMs) * time.Millisecond)
 	defer until.Stop()
 	for {
-		news, nodeChanged := s.directory.News(), s.followers.changed(request.Msg.Nodes != nil)
+		news, nodeChanged := s.directory.ViewChanged(), s.followers.changed(request.Msg.Nodes != nil)
 		response, err := s.newerThan(request.Msg)
 		if err != nil {
 			return nil, connect.NewError(connect.CodeInternal, err)
--- a/internal/replica/sources.go
+++ b/internal/replica/sources.go
@@ -12,14 +12,14 @@
 func recoverySources(group *replicav1.Group, member *replicav1.Member) []*replicav1.Member {
 	var sources []*replicav1.Member
 	for _, other := range group.Members {
-		if other.Seat != member.Seat && !quorum.Joining(other) {
+		if other.Seat != member.Seat && !quorum.IsJoining(other) {
 			sources = append(sources, other)
 		}
 	}
 	if group.Removed != nil {
 		sources = append(sources, group.Removed)
 	}
-	if inTransfer(member) && !quorum.Joining(member) {
+	if inTransfer(member) && !quorum.IsJoining(member) {
 		sources = append(sources, holderBefore(member))
 	}
 	return sources
@@ -29,12 +29,12 @@
 // and how many sources where the member that was removed last is one of them: what has counted since
 // its removal lies with the others alone.
 func sourcesNeeded(group *replicav1.Group) (members, withRemoved int) {
-	members = quorum.SourcesNeeded(group)
+	members = quorum.RequiredRecoverySources(group)
 	if group.Removed == nil {
 		return members, members
 	}
-	voters := quorum.Voters(group)
-	return members, max(quorum.RecoverSize(voters)+1, quorum.RecoverSize(voters+1))
+	voters := quorum.VoterCount(group)
+	return members, max(quorum.RecoveryQuorum(voters)+1, quorum.RecoveryQuorum(voters+1))
 }
 
 // enoughToRecover returns those standings of nodes that were copied whole after
@@ -63,7 +63,7 @@
 
 // chooseSources returns so many standings that count together, or nil.
 func chooseSources(epoch uint64, standings []*replicav1.Standing, needed int) (chosen []*replicav1.Standing) {
-	for _, i := range quorum.Choose(epoch, standings, needed) {
+	for _, i := range quorum.ChooseConsistent(epoch, standings, needed) {
 		chosen = append(chosen, standings[i])
 	}
 	return chosen
@@ -89,7 +89,7 @@
 // the seat is in transfer, no later holder has acknowledged anything.
 func passesSeatOn(group *replicav1.Group, member *replicav1.Member, standing *replicav1.Standing) bool {
 	before := member.Predecessor
-	return inTransfer(member) && !quorum.Joining(member) && !standing.Member && standing.Recovered && standing.Epoch >= group.Epoch &&
+	return inTransfer(member) && !quorum.IsJoining(member) && !standing.Member && standing.Recovered && standing.Epoch >= group.Epoch &&
 		standing.Seat == member.Seat && standing.Claim == before.Claim
 }
 
--- a/internal/replica/standby_test.go
+++ b/internal/replica/standby_test.go
@@ -12,7 +12,7 @@
 // nobody is alive.
 func nobody(string) bool { return false }
 
-func TestEachNodeThatCouldTakeASeatIsAskedSoon(t *testing.T) {
+func TestEveryStandbyIsQueriedSoon(t *testing.T) {
 	var able []directory.Replica
 	for i := range 60 {
 		able = append(able, directory.Replica{Node: fmt.Sprintf("n%d", i)})
@@ -32,7 +32,7 @@
 	require.Len(t, search.next(0, able, nobody), standbysAsked)
 }
 
-func TestANodeThatAnswersIsAskedEachTime(t *testing.T) {
+func TestHealthyStandbyIsQueriedEveryTime(t *testing.T) {
 	able := nodes("a", "b", "c", "d", "e", "f", "g")
 	search := newStandbySearch()
 	alive := func(node string) bool { return node == "f" }
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestFewNodesAreAskedOnceAQuestion(t *testing.T) {
+func TestFewStandbysAreQueriedOncePerRound(t *testing.T) {
 	search := newStandbySearch()
 	require.Empty(t, search.next(0, nil, nobody))
 	for range 4 {
--- a/internal/replica/state.go
+++ b/internal/replica/state.go
@@ -51,14 +51,14 @@
 
 // openState reads the log. A folder that is empty or damaged gives a state
 // without an identity.
-func openState(files recordlog.Files) (*state, error) { return openStateAt(files, time.Now) }
+func openState(files recordlog.FileSystem) (*state, error) { return openStateAt(files, time.Now) }
 
 // openStateAt is openState with a clock.
-func openStateAt(files recordlog.Files, now func() time.Time) (*state, error) {
+func openStateAt(files recordlog.FileSystem, now func() time.Time) (*state, error) {
 	opened := &state{
 		life: rand.Uint64() | 1, compactFrom: minCompactBytes, now: now, partitions: make(map[uint32]*partitionState),
 	}
-	log, err := recordlog.Open(files, func(data []byte, at recordlog.Place) error {
+	log, err := recordlog.Open(files, func(data []byte, at recordlog.Position) error {
 		record := &replicav1.Record{}
 		if err := proto.Unmarshal(data, record); err != nil {
 			return &recordlog.Damaged{}
@@ -108,7 +108,7 @@
 // are on the disk. While the disk takes nothing, new records are refused before
 // they are applied.
 func (s *state) write(records ...*replicav1.Record) error {
-	owed := s.log.Owed()
+	owed := s.log.UnwrittenBytes()
 	if owed > maxOwedBytes {
 		records = nil
 	}
@@ -120,7 +120,7 @@
 		return err
 	}
 	if owed > maxOwedBytes {
-		return &recordlog.Behind{Bytes: owed}
+		return &recordlog.WriteBacklog{Bytes: owed}
 	}
 	return nil
 }
@@ -135,8 +135,8 @@
 // records that it writes, and all before them, are on the disk. While the disk takes
 // nothing, no decision is made.
 func (s *state) decide(partition uint32, decision func(known *partitionState, write func(*replicav1.Record))) error {
-	if owed := s.log.Owed(); owed > maxOwedBytes {
-		return &recordlog.Behind{Bytes: owed}
+	if owed := s.log.UnwrittenBytes(); owed > maxOwedBytes {
+		return &recordlog.WriteBacklog{Bytes: owed}
 	}
 	wait, err := s.enqueueWith(func(changes *changes) { decision(s.partition(partition), changes.add) })
 	if err != nil {
@@ -193,8 +193,8 @@
 }
 
 // placed returns a function that notes where records were written.
-func (s *state) placed(written []placedRecord) func([]recordlog.Place) {
-	return func(places []recordlog.Place) {
+func (s *state) placed(written []placedRecord) func([]recordlog.Position) {
+	return func(places []recordlog.Position) {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		for i, record := range written {
--- a/internal/replica/stateread.go
+++ b/internal/replica/stateread.go
@@ -57,7 +57,7 @@
 }
 
 // decodeTurn reads a turn's record as the log has it.
-func decodeTurn(data []byte, at recordlog.Place) (*replicav1.Record, error) {
+func decodeTurn(data []byte, at recordlog.Position) (*replicav1.Record, error) {
 	record := &replicav1.Record{}
 	if err := proto.Unmarshal(data, record); err != nil || record.GetTurn() == nil {
 		return nil, &recordlog.Damaged{Offset: at.Offset}
@@ -85,7 +85,7 @@
 
 // loadAll returns records with what their turns say.
 func (s *state) loadAll(found []turn.Stored) ([]*replicav1.Record, error) {
-	var places []recordlog.Place
+	var places []recordlog.Position
 	for _, each := range found {
 		if each.GetTurn() != nil && !each.Place.IsZero() {
 			places = append(places, each.Place)
--- a/internal/replica/stop.go
+++ b/internal/replica/stop.go
@@ -30,7 +30,7 @@
 // before had its time to catch up, would take the second disk before the first seat is held.
 func (r *Replica) handSeatsOver(ctx context.Context) {
 	r.stopping.Store(true)
-	ctx, cancel := context.WithTimeout(ctx, stopWait(r.options.Grace))
+	ctx, cancel := context.WithTimeout(ctx, stopWait(r.options.ShutdownGracePeriod))
 	defer cancel()
 	r.announceStopping(ctx)
 	began := time.Now()
--- a/internal/replica/stop_test.go
+++ b/internal/replica/stop_test.go
@@ -12,7 +12,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/recordlog/recordlogtest"
 )
 
-func TestAStoppingMemberStaysUntilANodeThatStoodByHoldsASeat(t *testing.T) {
+func TestStoppingMemberStaysUntilStandbyIsInSync(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenAll(group, nodes("a", "b", "c", "spare"))
 	seen.stopping = only("b")
@@ -33,7 +33,7 @@
 }
 
 // A member that had stopped and stayed silent kept its vote beside the one that was there for it.
-func TestAStoppedMemberThatStaysSilentLosesItsSeatWhereEnoughStay(t *testing.T) {
+func TestStoppedMemberIsRemovedWhenEnoughRemain(t *testing.T) {
 	seen := seenAll(allReceived(nextGroup(seenAll(oneGroup(nodes("a", "b", "c")), nodes("a", "b", "c", "spare")))), nodes("a", "b", "c", "spare"))
 	seen.healthy, seen.settled = except("b"), except("b")
 	next := nextGroup(seen)
@@ -42,7 +42,7 @@
 }
 
 // A full group kept the member that had joined for one that stopped and came back.
-func TestAGroupWithMoreMembersThanItMayHaveGivesTheLastOneUp(t *testing.T) {
+func TestSurplusMemberIsRemoved(t *testing.T) {
 	full := oneGroup(nodes("a", "b", "c", "d", "e"))
 	seen := seenAll(full, nodes("a", "b", "c", "d", "e", "spare"))
 	seen.stopping = only("b")
@@ -51,7 +51,7 @@
 	require.Equal(t, memberNames(full), memberNames(nextGroup(seenAll(grown, seen.nodes))))
 }
 
-func TestAnEmptiedMemberGoesBeforeOneThatStops(t *testing.T) {
+func TestRetiringMemberLeavesBeforeStoppingOne(t *testing.T) {
 	group := oneGroup(nodes("a", "b", "c"))
 	seen := seenAll(group, nodes("a", "b", "c", "spare"))
 	seen.stopping, seen.retiring = only("b"), map[string]bool{"c": true}
@@ -61,7 +61,7 @@
 	require.Equal(t, []string{"a", "b", "spare"}, memberNames(nextGroup(seen)))
 }
 
-func TestANodeThatIsToStopCountsAsGoneUntilItStartsAgain(t *testing.T) {
+func TestStoppingNodeIsUnhealthyUntilRestart(t *testing.T) {
 	now := time.Unix(100, 0)
 	peers := newFailureDetector(func() time.Time { return now })
 	opened, err := openState(recordlogtest.NewDisk())
@@ -76,7 +76,7 @@
 }
 
 // A replica that was to stop ended after 3 s of a grace of 8, whether or not another one held a seat.
-func TestAReplicaThatIsToStopWaitsForAsLongAsItsGraceAllows(t *testing.T) {
+func TestStopWaitFollowsGracePeriod(t *testing.T) {
 	require.Equal(t, 7*time.Second, stopWait(8*time.Second))
 	require.Equal(t, leastStopWait, stopWait(time.Second), "one that joins has the time that it needs")
 }
--- a/internal/replica/transfer.go
+++ b/internal/replica/transfer.go
@@ -98,7 +98,7 @@
 // removedWith returns whom a group names as removed once a member's seat is: nobody where the others hold by
 // majority what counts, as those of an even number do, of whom more than half have each record.
 func removedWith(group *replicav1.Group, member *replicav1.Member) *replicav1.Member {
-	if quorum.Voters(group)%2 == 0 {
+	if quorum.VoterCount(group)%2 == 0 {
 		return nil
 	}
 	return lastHolder(member)
@@ -108,7 +108,7 @@
 // counted.
 func lastHolder(member *replicav1.Member) *replicav1.Member {
 	switch {
-	case quorum.Joining(member):
+	case quorum.IsJoining(member):
 		return nil
 	case inTransfer(member):
 		return holderBefore(member)
--- a/internal/replica/underreplicated.go
+++ b/internal/replica/underreplicated.go
@@ -83,7 +83,7 @@
 			empty = append(empty, member.Node)
 		}
 	}
-	borne := quorum.LossesBorne(group, len(group.Members)-len(empty))
+	borne := quorum.ToleratedLosses(group, len(group.Members)-len(empty))
 	known, found := u.borne[group.Partition]
 	if found && known.count == borne {
 		return
--- a/internal/replica/underreplicated_test.go
+++ b/internal/replica/underreplicated_test.go
@@ -9,7 +9,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-func TestAGroupThatLacksAMemberForLongIsCounted(t *testing.T) {
+func TestLongUnderReplicatedGroupIsCounted(t *testing.T) {
 	now := time.Unix(100, 0)
 	groups := newUnderReplicatedGroups(func() time.Time { return now })
 	seen := seenAll(oneGroup(nodes("a", "b", "c")), nodes("a", "b", "c"))
@@ -31,7 +31,7 @@
 	require.Zero(t, groups.count())
 }
 
-func TestTheWeakestGroupTellsHowManyLostDisksAreBorne(t *testing.T) {
+func TestWeakestGroupDeterminesToleratedLosses(t *testing.T) {
 	groups := newUnderReplicatedGroups(func() time.Time { return time.Unix(100, 0) })
 	require.Zero(t, groups.leastBorne())
 	three, five := oneGroup(nodes("a", "b", "c")), oneGroup(nodes("a", "b", "c", "d", "e"))
--- a/internal/replica/watchers.go
+++ b/internal/replica/watchers.go
@@ -45,7 +45,7 @@
 // watches reports whether this replica is to follow the store in any case: it is chosen,
 // or it is a seed while no group is known.
 func (r *Replica) watches() bool {
-	if r.options.Disabled.Has(mechanism.FewWatchers) {
+	if r.options.DisabledMechanisms.Has(mechanism.LimitedWatchers) {
 		return true
 	}
 	groups := r.directory.Groups()
@@ -61,30 +61,30 @@
 	began, late := time.Now(), rand.N(standInSpread)
 	wanted := func() bool {
 		if r.watches() {
-			r.feed.SetLastRetry(directory.PassingOn.LastRetry)
+			r.feed.SetMaxBackoff(directory.ReplicaTimings.MaxBackoff)
 			return true
 		}
-		r.feed.SetLastRetry(standInRetry)
-		return time.Since(began) > directory.FirstNews+late && !r.relay.FreshWithin(directory.FreshNews+late)
+		r.feed.SetMaxBackoff(standInRetry)
+		return time.Since(began) > directory.InitialReplicaReportWait+late && !r.relay.FreshWithin(directory.MaxReplicaReportAge+late)
 	}
-	directory.FollowWhile(ctx, wanted, func(following context.Context) {
-		go r.feed.Follow(following, directory.KindReplica, "replicas", directory.LongWait, r.followers.takeReplicas)
-		go r.feed.Follow(following, directory.KindRetirement, "retirements", directory.LongWait, r.followers.takeRetirements)
+	directory.RunWhile(ctx, wanted, func(following context.Context) {
+		go r.feed.ListAndWatch(following, directory.KindReplica, "replicas", directory.WatchTimeout, r.followers.takeReplicas)
+		go r.feed.ListAndWatch(following, directory.KindRetirement, "retirements", directory.WatchTimeout, r.followers.takeRetirements)
 		r.feed.Run(following)
 	})
 }
 
 // storeReportAge returns how old this replica's view of the store is, or false if it has none.
 func (r *Replica) storeReportAge() (age time.Duration, known bool) {
-	if r.feed.Answering() {
+	if r.feed.Healthy() {
 		return 0, true
 	}
-	return r.relay.Age()
+	return r.relay.UpdateAge()
 }
 
 // storeAnswers reports whether the store answers this replica, or one that answers it.
 func (r *Replica) storeAnswers() bool {
-	return r.feed.Answering() || r.relay.FreshWithin(directory.FreshNews)
+	return r.feed.Healthy() || r.relay.FreshWithin(directory.MaxReplicaReportAge)
 }
 
 // otherWatchers returns the watchers that this replica may ask for news.
--- a/internal/replica/watchers_test.go
+++ b/internal/replica/watchers_test.go
@@ -22,7 +22,7 @@
 	return listed
 }
 
-func TestWatchersGrowWithZonesAndNotWithMachines(t *testing.T) {
+func TestWatcherCountGrowsWithZones(t *testing.T) {
 	for _, each := range []int{6, 60} {
 		chosen := watchers(firstGroups(fleet(6, each)))
 		require.Len(t, chosen, 6, "one of each zone")
@@ -36,7 +36,7 @@
 	require.GreaterOrEqual(t, len(watchers(firstGroups(fleet(2, 5)))), wantedWatchers)
 }
 
-func TestAllChooseTheSameWatchers(t *testing.T) {
+func TestWatcherChoiceIsDeterministic(t *testing.T) {
 	groups := firstGroups(fleet(6, 6))
 	other := make([]*replicav1.Group, len(groups))
 	for i, group := range groups {
@@ -45,7 +45,7 @@
 	require.ElementsMatch(t, watchers(groups), watchers(other))
 }
 
-func TestThePartitionsOfALargeFleetShareItsNodesEvenly(t *testing.T) {
+func TestSeatsAreSpreadEvenlyOverNodes(t *testing.T) {
 	nodes := fleet(6, 6)
 	groups := firstGroups(nodes)
 	require.Len(t, groups, 12)
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestASmallFleetHasOnePartition(t *testing.T) {
+func TestSmallSystemHasOnePartition(t *testing.T) {
 	for nodes := 1; nodes <= maxSeats; nodes++ {
 		require.Equal(t, 1, partitionsFor(nodes))
 	}
@@ -73,7 +73,7 @@
 	require.Equal(t, 12, partitionsFor(36))
 }
 
-func TestASeatGoesToTheNodeWithTheFewest(t *testing.T) {
+func TestSeatGoesToNodeWithFewestSeats(t *testing.T) {
 	nodes := fleet(6, 6)
 	groups := firstGroups(nodes)
 	group := groups[0]
--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -58,7 +58,7 @@
 		group = append(group, d)
 	}
 	for _, d := range group {
-		require.NoError(b, d.Create(Group{Shard: testShard, Members: members(group...)}))
+		require.NoError(b, d.CreateReplica(InitialGroup{Shard: testShard, Members: members(group...)}))
 	}
 	_, err := group[0].EnsureLeader(context.Background(), testShard)
 	require.NoError(b, err)
@@ -150,9 +150,9 @@
 	}
 }
 
-// BenchmarkFailOver measures from the suspicion of a leader that died to
+// BenchmarkFailover measures from the suspicion of a leader that died to
 // another one that serves and has committed a record, one shard an iteration.
-func BenchmarkFailOver(b *testing.B) {
+func BenchmarkFailover(b *testing.B) {
 	for _, delay := range []time.Duration{500 * time.Microsecond, 1500 * time.Microsecond} {
 		b.Run(fmt.Sprintf("delay=%s", delay), func(b *testing.B) {
 			var times []time.Duration
@@ -177,7 +177,7 @@
 	// worst case: they may split the votes.
 	var found sync.WaitGroup
 	for _, d := range group[1:] {
-		d.NodeSuspected("a")
+		d.SuspectNode("a")
 		found.Go(func() { _, _ = d.EnsureLeader(context.Background(), testShard) })
 	}
 	found.Wait()
@@ -201,7 +201,7 @@
 		runtime.ReadMemStats(&before)
 		for id := range structs.ShardID(shards) {
 			for _, d := range group {
-				_ = d.Create(Group{Shard: 100 + id, Members: members(group...)})
+				_ = d.CreateReplica(InitialGroup{Shard: 100 + id, Members: members(group...)})
 			}
 			_, _ = group[int(id)%len(group)].EnsureLeader(context.Background(), 100+id)
 		}
@@ -237,7 +237,7 @@
 		before := n.bytes
 		n.mutex.Unlock()
 		b.StartTimer()
-		group[0].Reconcile(testShard, members(group[0], group[1], fresh))
+		group[0].ReconcileMembers(testShard, members(group[0], group[1], fresh))
 		for {
 			status, _ := group[0].Status(testShard)
 			if len(status.Members) == 3 && status.Members[2].Node == "d" {
--- a/internal/replication/bolt.go
+++ b/internal/replication/bolt.go
@@ -36,16 +36,16 @@
 	keyLast        = []byte("last")
 )
 
-// Bolt is a Storage in one bbolt database. Every value carries a checksum over
+// BoltStorage is a Storage in one bbolt database. Every value carries a checksum over
 // its key and content; a write of many shards is one transaction.
-type Bolt struct {
+type BoltStorage struct {
 	database *bbolt.DB
 }
 
-// OpenBolt opens the store in folder for one incarnation of the daemon. What
+// OpenBoltStorage opens the store in folder for one incarnation of the daemon. What
 // the store holds of another incarnation is dropped: its promises are not this
 // one's. The error is a *failure.DiskFailed.
-func OpenBolt(folder string, incarnation structs.Incarnation) (*Bolt, error) {
+func OpenBoltStorage(folder string, incarnation structs.Incarnation) (*BoltStorage, error) {
 	database, err := openDatabase(folder)
 	if err != nil {
 		return nil, &failure.DiskFailed{Cause: err}
@@ -55,14 +55,14 @@
 		_ = database.Close()
 		return nil, &failure.DiskFailed{Cause: err}
 	}
-	return &Bolt{database: database}, nil
+	return &BoltStorage{database: database}, nil
 }
 
 // openDatabase opens the file. bbolt reports some damage by a panic.
 func openDatabase(folder string) (database *bbolt.DB, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			database, err = nil, &StateLost{Reason: fmt.Sprint(reason)}
+			database, err = nil, &CorruptStateError{Reason: fmt.Sprint(reason)}
 		}
 	}()
 	if err := os.MkdirAll(folder, boltFolderMode); err != nil {
@@ -94,11 +94,11 @@
 }
 
 // Close closes the database.
-func (b *Bolt) Close() error { return b.database.Close() }
+func (b *BoltStorage) Close() error { return b.database.Close() }
 
-// Write stores all writes in one transaction. The error is a
+// ShardWrite stores all writes in one transaction. The error is a
 // *failure.DiskFailed.
-func (b *Bolt) Write(writes []Write) error {
+func (b *BoltStorage) Write(writes []ShardWrite) error {
 	err := b.database.Update(func(tx *bbolt.Tx) error {
 		for i := range writes {
 			if err := writeShard(tx.Bucket(bucketShards), &writes[i]); err != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-func writeShard(shards *bbolt.Bucket, write *Write) error {
+func writeShard(shards *bbolt.Bucket, write *ShardWrite) error {
 	key := shardKey(write.Shard)
 	if write.Remove {
 		if err := shards.DeleteBucket(key); err != nil && err != bolterrors.ErrBucketNotFound {
@@ -137,7 +137,7 @@
 	return writeEntries(bucket, write)
 }
 
-func writeEntries(bucket *bbolt.Bucket, write *Write) error {
+func writeEntries(bucket *bbolt.Bucket, write *ShardWrite) error {
 	if len(write.Entries) == 0 {
 		return nil
 	}
@@ -179,7 +179,7 @@
 	return nil
 }
 
-func writeSnapshot(bucket *bbolt.Bucket, write *Write) error {
+func writeSnapshot(bucket *bbolt.Bucket, write *ShardWrite) error {
 	if err := dropCovered(bucket, write); err != nil {
 		return err
 	}
@@ -202,8 +202,8 @@
 }
 
 // dropCovered drops the entries that the snapshot stands for.
-func dropCovered(bucket *bbolt.Bucket, write *Write) error {
-	if !write.KeepLater {
+func dropCovered(bucket *bbolt.Bucket, write *ShardWrite) error {
+	if !write.KeepLaterEntries {
 		if err := bucket.DeleteBucket(bucketEntries); err != nil && err != bolterrors.ErrBucketNotFound {
 			return err
 		}
--- a/internal/replication/bolt_test.go
+++ b/internal/replication/bolt_test.go
@@ -44,16 +44,16 @@
 	folder := t.TempDir()
 	n := newNetwork(0)
 	d := onDisk(t, n, folder, 1)
-	require.NoError(t, d.Create(Group{Shard: testShard, Members: members(d)}))
+	require.NoError(t, d.CreateReplica(InitialGroup{Shard: testShard, Members: members(d)}))
 	lead(t, d)
 	proposeMany(t, d, "x", records)
 	require.NoError(t, d.Close())
 	return folder
 }
 
-func TestRestartWithIntactDiskKeepsEverything(t *testing.T) {
+func TestRestartWithIntactDiskKeepsState(t *testing.T) {
 	folder := filled(t, 50)
-	incarnation, err := OpenIdentity(folder, 99)
+	incarnation, err := LoadOrCreateIncarnation(folder, 99)
 	require.NoError(t, err)
 	require.Equal(t, structs.Incarnation(1), incarnation)
 	d := onDisk(t, newNetwork(0), folder, 1)
@@ -64,19 +64,19 @@
 	require.NoError(t, d.Close())
 }
 
-func TestRestartedMemberFindsTheLeaderThatLives(t *testing.T) {
+func TestRestartedMemberFindsExistingLeader(t *testing.T) {
 	n, folder := newNetwork(0), t.TempDir()
 	a, b, c := n.start(t, "a", 1, nil), n.start(t, "b", 1, nil), n.start(t, "c", 1, func(o *Options) { o.DataDir = folder })
 	defer n.closeAll(t)
 	for _, d := range []*daemon{a, b, c} {
-		require.NoError(t, d.Create(Group{Shard: testShard, Members: members(a, b, c)}))
+		require.NoError(t, d.CreateReplica(InitialGroup{Shard: testShard, Members: members(a, b, c)}))
 	}
 	lead(t, a)
 	proposeMany(t, a, "x", 3)
 	// Nothing may be left that the leader still has to tell.
 	require.Eventually(t, func() bool {
 		status, _ := c.Status(testShard)
-		return status.Commit == 4
+		return status.CommitIndex == 4
 	}, 10*time.Second, time.Millisecond)
 	time.Sleep(20 * DefaultTickInterval)
 	require.NoError(t, c.Close())
@@ -87,17 +87,17 @@
 	proposeMany(t, a, "y", 3)
 }
 
-func TestStoredSnapshotStandsForOldRecords(t *testing.T) {
+func TestStoredSnapshotReplacesOldEntries(t *testing.T) {
 	folder := t.TempDir()
 	d := onDisk(t, newNetwork(0), folder, 1)
-	require.NoError(t, d.Create(Group{Shard: testShard, Members: members(d)}))
+	require.NoError(t, d.CreateReplica(InitialGroup{Shard: testShard, Members: members(d)}))
 	lead(t, d)
 	for i := range 80 {
 		require.NoError(t, d.Propose(context.Background(), testShard, noise(i, 128<<10)))
 	}
 	want := d.records(testShard)
 	require.NoError(t, d.Close())
-	store, err := OpenBolt(folder, 1)
+	store, err := OpenBoltStorage(folder, 1)
 	require.NoError(t, err)
 	stored, err := store.Load()
 	require.NoError(t, err)
@@ -121,12 +121,12 @@
 	require.NoError(t, database.Close())
 }
 
-func TestTornTailIsCutOff(t *testing.T) {
+func TestCorruptLogTailIsTruncated(t *testing.T) {
 	folder := filled(t, 10)
 	change(t, folder, func(shard *bbolt.Bucket) error {
 		return shard.Bucket(bucketEntries).Put(number(12), []byte("torn"))
 	})
-	incarnation, err := OpenIdentity(folder, 99)
+	incarnation, err := LoadOrCreateIncarnation(folder, 99)
 	require.NoError(t, err)
 	require.Equal(t, structs.Incarnation(1), incarnation)
 	d := onDisk(t, newNetwork(0), folder, 1)
@@ -135,7 +135,7 @@
 	require.NoError(t, d.Close())
 }
 
-func TestDamagedStateComesBackAsNewIncarnation(t *testing.T) {
+func TestCorruptStateRequiresNewIncarnation(t *testing.T) {
 	damages := map[string]func(shard *bbolt.Bucket) error{
 		"entry":         func(s *bbolt.Bucket) error { return s.Bucket(bucketEntries).Put(number(5), []byte("damaged")) },
 		"missing entry": func(s *bbolt.Bucket) error { return s.Bucket(bucketEntries).Delete(number(11)) },
@@ -146,7 +146,7 @@
 		t.Run(name, func(t *testing.T) {
 			folder := filled(t, 10)
 			change(t, folder, damage)
-			incarnation, err := OpenIdentity(folder, 99)
+			incarnation, err := LoadOrCreateIncarnation(folder, 99)
 			require.NoError(t, err)
 			require.Equal(t, structs.Incarnation(99), incarnation)
 			d := onDisk(t, newNetwork(0), folder, 99)
@@ -156,18 +156,18 @@
 	}
 }
 
-func TestDamagedFileComesBackAsNewIncarnation(t *testing.T) {
+func TestCorruptFileRequiresNewIncarnation(t *testing.T) {
 	folder := filled(t, 10)
 	name := filepath.Join(folder, boltFile)
 	data, err := os.ReadFile(name)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(name, data[:len(data)/3], boltFileMode))
-	incarnation, err := OpenIdentity(folder, 99)
+	incarnation, err := LoadOrCreateIncarnation(folder, 99)
 	require.NoError(t, err)
 	require.Equal(t, structs.Incarnation(99), incarnation)
 }
 
-func TestStateOfAnotherIncarnationIsDropped(t *testing.T) {
+func TestStateOfAnotherIncarnationIsDeleted(t *testing.T) {
 	folder := filled(t, 10)
 	d := onDisk(t, newNetwork(0), folder, 2)
 	require.Empty(t, d.Statuses())
@@ -177,9 +177,9 @@
 // failing is a storage that stops working.
 type failing struct{ full bool }
 
-func (f *failing) Load() (map[structs.ShardID]Stored, error) { return nil, nil }
+func (f *failing) Load() (map[structs.ShardID]StoredShard, error) { return nil, nil }
 
-func (f *failing) Write([]Write) error {
+func (f *failing) Write([]ShardWrite) error {
 	if f.full {
 		return &failure.DiskFailed{Cause: errNoSpace}
 	}
@@ -198,7 +198,7 @@
 		b, c := n.start(t, "b", 1, nil), n.start(t, "c", 1, nil)
 		defer n.closeAll(t)
 		for _, d := range []*daemon{a, b, c} {
-			require.NoError(t, d.Create(Group{Shard: testShard, Members: members(a, b, c)}))
+			require.NoError(t, d.CreateReplica(InitialGroup{Shard: testShard, Members: members(a, b, c)}))
 		}
 		lead(t, a)
 		proposeMany(t, a, "x", 3)
@@ -225,14 +225,14 @@
 	})
 }
 
-func TestBoltWritesAllOrNothing(t *testing.T) {
-	store, err := OpenBolt(t.TempDir(), 1)
+func TestBoltStorageWriteIsAtomic(t *testing.T) {
+	store, err := OpenBoltStorage(t.TempDir(), 1)
 	require.NoError(t, err)
 	entry := &journalv1.Entry{Index: 1, Term: 1, Data: []byte("x")}
-	require.NoError(t, store.Write([]Write{{Shard: 1, Entries: []*journalv1.Entry{entry}}}))
+	require.NoError(t, store.Write([]ShardWrite{{Shard: 1, Entries: []*journalv1.Entry{entry}}}))
 	notText := []*journalv1.Member{{Node: "\xff"}}
 	refused := &journalv1.Entry{Index: 2, Term: 1, Membership: &journalv1.Membership{Members: notText}}
-	err = store.Write([]Write{
+	err = store.Write([]ShardWrite{
 		{Shard: 2, Entries: []*journalv1.Entry{entry}},
 		{Shard: 1, Entries: []*journalv1.Entry{refused}},
 	})
--- a/internal/replication/boltload.go
+++ b/internal/replication/boltload.go
@@ -14,14 +14,14 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// StateLost reports that a store does not hold all that its incarnation
+// CorruptStateError reports that a store does not hold all that its incarnation
 // promised. The daemon must come back as a new incarnation.
-type StateLost struct {
+type CorruptStateError struct {
 	// Reason says what is missing.
 	Reason string
 }
 
-func (e *StateLost) Error() string { return fmt.Sprintf("stored state lost: %s", e.Reason) }
+func (e *CorruptStateError) Error() string { return fmt.Sprintf("stored state lost: %s", e.Reason) }
 
 const checksumBytes = 8
 
@@ -38,7 +38,7 @@
 		return nil, nil
 	}
 	if len(sealed) < checksumBytes || binary.BigEndian.Uint64(sealed) != checksum(key, sealed[checksumBytes:]) {
-		return nil, &StateLost{Reason: fmt.Sprintf("checksum of %x", key)}
+		return nil, &CorruptStateError{Reason: fmt.Sprintf("checksum of %x", key)}
 	}
 	return append([]byte{}, sealed[checksumBytes:]...), nil
 }
@@ -52,15 +52,15 @@
 
 // Load returns all shards. An entry after the last acknowledged one that does
 // not match its checksum is cut off with all that follow it. The error is a
-// *failure.DiskFailed whose cause is a *StateLost where acknowledged state is
+// *failure.DiskFailed whose cause is a *CorruptStateError where acknowledged state is
 // damaged.
-func (b *Bolt) Load() (found map[structs.ShardID]Stored, err error) {
+func (b *BoltStorage) Load() (found map[structs.ShardID]StoredShard, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			err = &failure.DiskFailed{Cause: &StateLost{Reason: fmt.Sprint(reason)}}
+			err = &failure.DiskFailed{Cause: &CorruptStateError{Reason: fmt.Sprint(reason)}}
 		}
 	}()
-	found = map[structs.ShardID]Stored{}
+	found = map[structs.ShardID]StoredShard{}
 	err = b.database.View(func(tx *bbolt.Tx) error {
 		shards := tx.Bucket(bucketShards)
 		return shards.ForEachBucket(func(key []byte) error {
@@ -78,8 +78,8 @@
 	return found, nil
 }
 
-func loadShard(bucket *bbolt.Bucket) (Stored, error) {
-	stored := Stored{State: &journalv1.State{}}
+func loadShard(bucket *bbolt.Bucket) (StoredShard, error) {
+	stored := StoredShard{State: &journalv1.State{}}
 	if err := getMessage(bucket, keyState, stored.State); err != nil {
 		return stored, err
 	}
@@ -120,7 +120,7 @@
 		entries = append(entries, entry)
 	}
 	if next <= acknowledged {
-		return nil, &StateLost{Reason: fmt.Sprintf("entry %d of %d", next, acknowledged)}
+		return nil, &CorruptStateError{Reason: fmt.Sprintf("entry %d of %d", next, acknowledged)}
 	}
 	return entries, nil
 }
@@ -147,7 +147,7 @@
 			return snapshot, err
 		}
 		if len(part) == 0 {
-			return snapshot, &StateLost{Reason: "part of a snapshot"}
+			return snapshot, &CorruptStateError{Reason: "part of a snapshot"}
 		}
 		snapshot.Data = append(snapshot.Data, part...)
 	}
@@ -161,7 +161,7 @@
 		return err
 	}
 	if err := proto.Unmarshal(data, message); err != nil {
-		return &StateLost{Reason: err.Error()}
+		return &CorruptStateError{Reason: err.Error()}
 	}
 	return nil
 }
--- a/internal/replication/compress.go
+++ b/internal/replication/compress.go
@@ -19,13 +19,13 @@
 	encoderWindowBytes = 256 << 10
 )
 
-// BadFrame reports a record or snapshot that cannot be decoded.
-type BadFrame struct {
+// DecodeError reports a record or snapshot that cannot be decoded.
+type DecodeError struct {
 	// Reason says what is wrong.
 	Reason string
 }
 
-func (e *BadFrame) Error() string { return fmt.Sprintf("bad frame: %s", e.Reason) }
+func (e *DecodeError) Error() string { return fmt.Sprintf("bad frame: %s", e.Reason) }
 
 var (
 	encoder = must(zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest),
@@ -55,7 +55,7 @@
 
 func decodeRecord(frame []byte) ([]byte, error) {
 	if len(frame) == 0 {
-		return nil, &BadFrame{Reason: "empty"}
+		return nil, &DecodeError{Reason: "empty"}
 	}
 	switch frame[0] {
 	case codingPlain:
@@ -63,9 +63,9 @@
 	case codingZstd:
 		data, err := decoder.DecodeAll(frame[1:], nil)
 		if err != nil {
-			return nil, &BadFrame{Reason: err.Error()}
+			return nil, &DecodeError{Reason: err.Error()}
 		}
 		return data, nil
 	}
-	return nil, &BadFrame{Reason: "unknown coding"}
+	return nil, &DecodeError{Reason: "unknown coding"}
 }
--- a/internal/replication/faults_test.go
+++ b/internal/replication/faults_test.go
@@ -33,9 +33,9 @@
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		c.start(name)
 	}
-	group := Group{Shard: testShard, Members: members(c.daemons["a"], c.daemons["b"], c.daemons["c"])}
+	group := InitialGroup{Shard: testShard, Members: members(c.daemons["a"], c.daemons["b"], c.daemons["c"])}
 	for _, d := range c.daemons {
-		require.NoError(t, d.Create(group))
+		require.NoError(t, d.CreateReplica(group))
 	}
 	return c
 }
@@ -89,7 +89,7 @@
 	c.network.kill(c.t, c.daemons[name])
 	for _, d := range c.daemons {
 		if string(d.self.Node) != name {
-			d.NodeSuspected(c.daemons[name].self.Node)
+			d.SuspectNode(c.daemons[name].self.Node)
 		}
 	}
 	c.propose()
@@ -105,7 +105,7 @@
 	for range 20 {
 		c.propose()
 		for _, d := range c.daemons {
-			d.Reconcile(testShard, list)
+			d.ReconcileMembers(testShard, list)
 		}
 		time.Sleep(time.Second)
 	}
@@ -122,7 +122,7 @@
 	c.network.isolate(d, true)
 	for _, other := range c.daemons {
 		if other != d {
-			other.NodeSuspected(d.self.Node)
+			other.SuspectNode(d.self.Node)
 		}
 	}
 	for range 3 {
@@ -181,7 +181,7 @@
 	t.Logf("%d histories, %d faults, %d records acknowledged", seeds, seeds*rounds, acknowledged)
 }
 
-func TestWholeGroupRestartsFromItsDisks(t *testing.T) {
+func TestGroupRestartsFromStorage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(time.Millisecond)
 		defer n.closeAll(t)
@@ -195,7 +195,7 @@
 		}
 		group := begin()
 		for _, d := range group {
-			require.NoError(t, d.Create(Group{Shard: testShard, Members: members(group...)}))
+			require.NoError(t, d.CreateReplica(InitialGroup{Shard: testShard, Members: members(group...)}))
 		}
 		for life := range 3 {
 			_, err := group[life].EnsureLeader(context.Background(), testShard)
--- a/internal/replication/handover.go
+++ b/internal/replication/handover.go
@@ -10,19 +10,19 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// handOverInterval is how often HandOver looks again, handOverGrace how long it
+// handOverInterval is how often Drain looks again, handOverGrace how long it
 // gives the leaders' daemons to notice that this one leaves.
 const (
 	handOverInterval = 50 * time.Millisecond
 	handOverGrace    = 1500 * time.Millisecond
 )
 
-// HandOver prepares a planned stop: it gives the leadership of every shard to
+// Drain prepares a planned stop: it gives the leadership of every shard to
 // another voter, and waits until those groups that are to go on without this
 // daemon do. A group whose leader wants to keep this daemon, since there is no
 // other place for it, is left as it is. The error is *failure.ShardUnavailable
 // for the first shard that was not handed over when the context ended.
-func (h *Host) HandOver(ctx context.Context) error {
+func (h *Host) Drain(ctx context.Context) error {
 	ticker := time.NewTicker(handOverInterval)
 	defer ticker.Stop()
 	grace := time.After(handOverGrace)
@@ -53,7 +53,7 @@
 		if len(status.Members) < 2 {
 			continue
 		}
-		if status.Role == journal.Leader || status.Leaving || !noticed {
+		if status.Role == journal.Leader || status.RemovalPending || !noticed {
 			found.worker.post(&inputHandOver{shard: found})
 			left = append(left, found.id)
 		}
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -35,8 +35,8 @@
 // Member is one replica of a group.
 type Member = journal.Member
 
-// Group is the genesis of a shard. All members must be given the same one.
-type Group struct {
+// InitialGroup is the genesis of a shard. All members must be given the same one.
+type InitialGroup struct {
 	Shard   structs.ShardID
 	Members []Member
 }
@@ -49,17 +49,17 @@
 	DataDir   string
 	Transport Transport
 	// Nodes returns the present view of the cluster; nil means that only
-	// NodeSuspected tells of failures.
+	// SuspectNode tells of failures.
 	Nodes           func() []structs.Node
 	NewStateMachine func(structs.ShardID) StateMachine
-	// OnLeadership is told, in order, when this daemon begins and ceases to
+	// OnLeadershipChange is told, in order, when this daemon begins and ceases to
 	// lead. Leading is true only once all that was committed is applied here.
-	OnLeadership func(shard structs.ShardID, leading bool, term uint64)
+	OnLeadershipChange func(shard structs.ShardID, leading bool, term uint64)
 	// TickInterval is the unit of the replicas' timeouts.
 	TickInterval time.Duration
-	// LogBytes bounds the applied entries that a replica keeps in memory for
+	// RetainedLogBytes bounds the applied entries that a replica keeps in memory for
 	// members that lag.
-	LogBytes int
+	RetainedLogBytes int
 	// Seed of the random source that spreads campaigns; 0 draws one.
 	Seed uint64
 	// Storage replaces the store in DataDir, for tests.
@@ -68,9 +68,9 @@
 
 // Defaults of the options.
 const (
-	DefaultTickInterval = 20 * time.Millisecond
-	DefaultLogBytes     = 1 << 20
-	maxWorkers          = 4
+	DefaultTickInterval     = 20 * time.Millisecond
+	DefaultRetainedLogBytes = 1 << 20
+	maxWorkers              = 4
 )
 
 // Host runs the replicas of one daemon.
@@ -103,8 +103,8 @@
 	if options.TickInterval == 0 {
 		options.TickInterval = DefaultTickInterval
 	}
-	if options.LogBytes == 0 {
-		options.LogBytes = DefaultLogBytes
+	if options.RetainedLogBytes == 0 {
+		options.RetainedLogBytes = DefaultRetainedLogBytes
 	}
 	if options.Seed == 0 {
 		options.Seed = rand.Uint64()
@@ -116,7 +116,7 @@
 		closing: make(chan struct{}),
 	}
 	h.shards.Store(&map[structs.ShardID]*shard{})
-	h.notices = newNotifier(options.OnLeadership)
+	h.notices = newNotifier(options.OnLeadershipChange)
 	for i := range min(maxWorkers, runtime.GOMAXPROCS(0)) {
 		h.workers = append(h.workers, newWorker(h, uint64(i)))
 	}
@@ -130,7 +130,7 @@
 func (h *Host) openStore() error {
 	storage := h.options.Storage
 	if storage == nil && h.options.DataDir != "" {
-		opened, err := OpenBolt(h.options.DataDir, h.self.Incarnation)
+		opened, err := OpenBoltStorage(h.options.DataDir, h.self.Incarnation)
 		if err != nil {
 			return err
 		}
@@ -152,12 +152,12 @@
 	return nil
 }
 
-func (h *Host) restore(id structs.ShardID, found Stored) error {
+func (h *Host) restore(id structs.ShardID, found StoredShard) error {
 	if found.State.GetRemoved() {
 		h.former[id] = formerShard{tombstone: found.State, status: Status{Shard: id, Removed: true}}
 		return nil
 	}
-	created := h.newShard(id, found.Restored())
+	created := h.newShard(id, found.RestoredReplica())
 	if len(found.Snapshot.Data) > 0 {
 		if err := created.restoreMachine(found.Snapshot.Data); err != nil {
 			return &failure.DiskFailed{Cause: err}
@@ -196,10 +196,10 @@
 	return nil
 }
 
-// Create makes this daemon's replica of a new shard. It does nothing where the
+// CreateReplica makes this daemon's replica of a new shard. It does nothing where the
 // shard exists or existed here, and where the group does not name this very
 // incarnation: a daemon that lost its memory is only ever admitted by a leader.
-func (h *Host) Create(group Group) error {
+func (h *Host) CreateReplica(group InitialGroup) error {
 	if failed := h.failed.Load(); failed != nil {
 		return failed
 	}
@@ -214,7 +214,7 @@
 	if _, existed := h.former[group.Shard]; existed {
 		return nil
 	}
-	genesis := journal.Genesis(group.Members)
+	genesis := journal.BootstrapState(group.Members)
 	created := h.newShard(group.Shard, genesis)
 	created.genesis = &journal.Snapshot{Membership: genesis.Membership}
 	h.addShardLocked(created)
@@ -222,7 +222,7 @@
 	return nil
 }
 
-func (h *Host) newShard(id structs.ShardID, restored journal.Restored) *shard {
+func (h *Host) newShard(id structs.ShardID, restored journal.InitialState) *shard {
 	random := rand.New(rand.NewPCG(h.options.Seed, uint64(id)))
 	self := h.self
 	self.Admission = restored.State.GetAdmission()
@@ -259,10 +259,10 @@
 	return found, exists
 }
 
-// Reconcile moves the group toward the wanted voters while this daemon leads
+// ReconcileMembers moves the group toward the wanted voters while this daemon leads
 // it. A daemon that does not lead keeps the wish until it has led; one that
 // ceases to lead forgets it. Call it now and then at the leader.
-func (h *Host) Reconcile(id structs.ShardID, wanted []Member) {
+func (h *Host) ReconcileMembers(id structs.ShardID, wanted []Member) {
 	found, exists := h.shard(id)
 	if !exists {
 		return
--- a/internal/replication/host_test.go
+++ b/internal/replication/host_test.go
@@ -12,7 +12,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-func TestGroupOfOneCommitsAlone(t *testing.T) {
+func TestSingleMemberGroupCommits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(time.Millisecond)
 		group := startGroup(t, n, 1)
@@ -26,7 +26,7 @@
 	})
 }
 
-func TestGroupOfThreeReplicatesAndFailsOver(t *testing.T) {
+func TestThreeMemberGroupReplicatesAndFailsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(time.Millisecond)
 		group := startGroup(t, n, 3)
@@ -40,8 +40,8 @@
 		require.Len(t, group[2].records(testShard), 20)
 
 		n.kill(t, group[0])
-		group[1].NodeSuspected("a")
-		group[2].NodeSuspected("a")
+		group[1].SuspectNode("a")
+		group[2].SuspectNode("a")
 		leader, err = group[1].EnsureLeader(ctx, testShard)
 		require.NoError(t, err)
 		require.Equal(t, structs.NodeID("b"), leader)
@@ -51,7 +51,7 @@
 	})
 }
 
-func TestProposeInTermRefusesAnotherTerm(t *testing.T) {
+func TestProposeInTermRejectsOtherTerms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(time.Millisecond)
 		group := startGroup(t, n, 1)
@@ -65,7 +65,7 @@
 	})
 }
 
-func TestRefusedSnapshotDropsTheReplica(t *testing.T) {
+func TestRejectedSnapshotDropsReplica(t *testing.T) {
 	inGroup(t, func(t *testing.T, n *network, group []*daemon) {
 		for i := range 24 {
 			require.NoError(t, group[0].Propose(context.Background(), testShard, noise(i, 128<<10)))
@@ -73,7 +73,7 @@
 		broken := n.start(t, "d", 1, func(o *Options) {
 			o.NewStateMachine = func(structs.ShardID) StateMachine { return &refusing{} }
 		})
-		group[0].Reconcile(testShard, members(group[0], group[1], broken))
+		group[0].ReconcileMembers(testShard, members(group[0], group[1], broken))
 		time.Sleep(3 * time.Second)
 		status, held := broken.Status(testShard)
 		require.True(t, held && status.Removed)
@@ -84,17 +84,17 @@
 
 type refusing struct{ counter }
 
-func (r *refusing) Restore([]byte) error { return &BadFrame{Reason: "test"} }
+func (r *refusing) Restore([]byte) error { return &DecodeError{Reason: "test"} }
 
-func TestProposeWithoutMajorityAnswersAtOnce(t *testing.T) {
+func TestProposeWithoutMajorityFailsImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(time.Millisecond)
 		group := startGroup(t, n, 3)
 		_, err := group[0].EnsureLeader(context.Background(), testShard)
 		require.NoError(t, err)
 		n.isolate(group[0], true)
-		group[0].NodeSuspected("b")
-		group[0].NodeSuspected("c")
+		group[0].SuspectNode("b")
+		group[0].SuspectNode("c")
 		time.Sleep(time.Second)
 		began := time.Now()
 		err = group[0].Propose(context.Background(), testShard, []byte("x"))
--- a/internal/replication/identity.go
+++ b/internal/replication/identity.go
@@ -17,16 +17,16 @@
 // asideSuffix ends the name of a database that was set aside.
 const asideSuffix = ".damaged"
 
-// OpenIdentity returns the incarnation under which a daemon with a data folder
+// LoadOrCreateIncarnation returns the incarnation under which a daemon with a data folder
 // is to start: the stored one, if all that it promised is intact, and else
 // fresh, after the damaged database was set aside. A daemon calls it before it
 // tells anyone its incarnation. The error is a *failure.DiskFailed.
-func OpenIdentity(folder string, fresh structs.Incarnation) (structs.Incarnation, error) {
+func LoadOrCreateIncarnation(folder string, fresh structs.Incarnation) (structs.Incarnation, error) {
 	held, err := storedIdentity(folder)
 	if err == nil && held != 0 {
 		return held, nil
 	}
-	var lost *StateLost
+	var lost *CorruptStateError
 	if err != nil && !errors.As(err, &lost) {
 		return 0, &failure.DiskFailed{Cause: err}
 	}
@@ -36,7 +36,7 @@
 			return 0, &failure.DiskFailed{Cause: err}
 		}
 	}
-	store, err := OpenBolt(folder, fresh)
+	store, err := OpenBoltStorage(folder, fresh)
 	if err != nil {
 		return 0, err
 	}
@@ -47,7 +47,7 @@
 }
 
 // storedIdentity returns the incarnation that the folder belongs to, 0 where
-// none claimed it, and a *StateLost where its state is not intact.
+// none claimed it, and a *CorruptStateError where its state is not intact.
 func storedIdentity(folder string) (held structs.Incarnation, err error) {
 	if _, err := os.Stat(filepath.Join(folder, boltFile)); errors.Is(err, os.ErrNotExist) {
 		return 0, nil
@@ -56,10 +56,10 @@
 	if err != nil {
 		return 0, damaged(err)
 	}
-	store := &Bolt{database: database}
+	store := &BoltStorage{database: database}
 	defer func() {
 		if reason := recover(); reason != nil {
-			err = &StateLost{Reason: fmt.Sprint(reason)}
+			err = &CorruptStateError{Reason: fmt.Sprint(reason)}
 		}
 		err = errors.Join(err, store.Close())
 	}()
@@ -88,7 +88,7 @@
 	if errors.Is(err, os.ErrPermission) || errors.Is(err, bolterrors.ErrTimeout) {
 		return err
 	}
-	return &StateLost{Reason: err.Error()}
+	return &CorruptStateError{Reason: err.Error()}
 }
 
 func setAside(folder string) error {
--- a/internal/replication/inputs.go
+++ b/internal/replication/inputs.go
@@ -18,7 +18,7 @@
 		from, to := in.from, w.host.self
 		from.Admission, to.Admission = message.FromAdmission, message.ToAdmission
 		found, exists := w.host.shard(structs.ShardID(message.Shard))
-		if exists && message.ToAdmission > found.replica.Self().Admission && journal.Admits(message.Type) {
+		if exists && message.ToAdmission > found.replica.Self().Admission && journal.MayCreateReplica(message.Type) {
 			// A later admission says that the removal of this one is committed.
 			found.leave()
 			exists = false
@@ -43,7 +43,7 @@
 		}}})
 		return nil
 	}
-	if !journal.Admits(message.Type) || h.failed.Load() != nil {
+	if !journal.MayCreateReplica(message.Type) || h.failed.Load() != nil {
 		return nil
 	}
 	id := structs.ShardID(message.Shard)
@@ -55,7 +55,7 @@
 	if tombstone := h.former[id].tombstone; tombstone != nil && message.ToAdmission <= tombstone.Admission {
 		return nil
 	}
-	created := h.newShard(id, journal.Restored{State: &journalv1.State{Admission: message.ToAdmission}})
+	created := h.newShard(id, journal.InitialState{State: &journalv1.State{Admission: message.ToAdmission}})
 	h.addShardLocked(created)
 	return created
 }
@@ -116,7 +116,7 @@
 	if target, found := in.shard.replica.TransferTarget(); found {
 		in.shard.replica.TransferLeadership(target)
 	}
-	in.shard.replica.AskMembership()
+	in.shard.replica.ProbeMembership()
 	w.touched[in.shard] = true
 }
 
--- a/internal/replication/job.go
+++ b/internal/replication/job.go
@@ -135,7 +135,7 @@
 	}
 	if in.store && in.snapshot.Index > s.storedSnapshot {
 		s.storedSnapshot, s.snapshotBytes = in.snapshot.Index, len(in.snapshot.Data)
-		s.host.store.write(Write{Shard: s.id, Snapshot: &in.snapshot, KeepLater: true}, nil)
+		s.host.store.write(ShardWrite{Shard: s.id, Snapshot: &in.snapshot, KeepLaterEntries: true}, nil)
 	}
 	w.touched[s] = true
 }
--- a/internal/replication/member_test.go
+++ b/internal/replication/member_test.go
@@ -28,17 +28,17 @@
 
 func suspectAt(id structs.NodeID, daemons ...*daemon) {
 	for _, d := range daemons {
-		d.NodeSuspected(id)
+		d.SuspectNode(id)
 	}
 }
 
 func TestWipedMemberNeverVotes(t *testing.T) {
 	inGroup(t, func(t *testing.T, n *network, group []*daemon) {
 		proposeMany(t, group[0], "x", 3)
-		genesis := Group{Shard: testShard, Members: members(group...)}
+		genesis := InitialGroup{Shard: testShard, Members: members(group...)}
 		n.kill(t, group[2])
 		wiped := n.start(t, "c", 2, nil)
-		require.NoError(t, wiped.Create(genesis))
+		require.NoError(t, wiped.CreateReplica(genesis))
 		_, held := wiped.Status(testShard)
 		require.False(t, held, "the old genesis must make no replica")
 
@@ -60,7 +60,7 @@
 		suspectAt("c", group[0])
 		wiped := n.start(t, "c", 2, nil)
 		wanted := members(group[0], group[1], wiped)
-		group[0].Reconcile(testShard, wanted)
+		group[0].ReconcileMembers(testShard, wanted)
 		time.Sleep(2 * flagLifetime)
 		require.Equal(t, group[0].records(testShard), wiped.records(testShard))
 		status, _ := group[0].Status(testShard)
@@ -84,13 +84,13 @@
 	})
 }
 
-func TestRemovedMemberTellsTheMembersItKnows(t *testing.T) {
+func TestRemovedMemberReportsLastKnownMembers(t *testing.T) {
 	inGroup(t, func(t *testing.T, n *network, group []*daemon) {
 		proposeMany(t, group[0], "x", 3)
 		fresh := n.start(t, "d", 1, nil)
 		wanted := members(group[1], group[2], fresh)
 		for _, d := range group {
-			d.Reconcile(testShard, wanted)
+			d.ReconcileMembers(testShard, wanted)
 		}
 		time.Sleep(2 * time.Second)
 		status, known := group[0].Status(testShard)
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestLargeStateCatchesUpByChunks(t *testing.T) {
+func TestLearnerCatchesUpFromChunkedSnapshot(t *testing.T) {
 	inGroup(t, func(t *testing.T, n *network, group []*daemon) {
 		// 3 MiB of records that do not compress: the log in memory is compacted
 		// and only a snapshot of many chunks can bring the learner up.
@@ -112,7 +112,7 @@
 			require.NoError(t, group[0].Propose(context.Background(), testShard, noise(i, 128<<10)))
 		}
 		fresh := n.start(t, "d", 1, nil)
-		group[0].Reconcile(testShard, members(group[0], group[1], fresh))
+		group[0].ReconcileMembers(testShard, members(group[0], group[1], fresh))
 		time.Sleep(3 * time.Second)
 		require.Equal(t, group[0].records(testShard), fresh.records(testShard))
 		status, _ := fresh.Status(testShard)
@@ -120,16 +120,16 @@
 	})
 }
 
-func TestPlannedStopHandsLeadershipAndReplicasOver(t *testing.T) {
+func TestDrainTransfersLeadershipAndReplicas(t *testing.T) {
 	inGroup(t, func(t *testing.T, n *network, group []*daemon) {
 		proposeMany(t, group[0], "x", 5)
 		fresh := n.start(t, "d", 1, nil)
 		for _, d := range group {
-			d.Reconcile(testShard, members(group[1], group[2], fresh))
+			d.ReconcileMembers(testShard, members(group[1], group[2], fresh))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		require.NoError(t, group[0].HandOver(ctx))
+		require.NoError(t, group[0].Drain(ctx))
 		n.kill(t, group[0])
 		leader, err := group[1].EnsureLeader(context.Background(), testShard)
 		require.NoError(t, err)
@@ -139,37 +139,37 @@
 	})
 }
 
-func TestPlannedStopOfFollowerWaitsForItsSuccessor(t *testing.T) {
+func TestDrainOfFollowerWaitsForReplacement(t *testing.T) {
 	inGroup(t, func(t *testing.T, n *network, group []*daemon) {
 		proposeMany(t, group[0], "x", 5)
 		fresh := n.start(t, "d", 1, nil)
 		// Only the leader's daemon knows yet that c leaves.
-		group[0].Reconcile(testShard, members(group[0], group[1], fresh))
-		require.NoError(t, group[2].HandOver(context.Background()))
+		group[0].ReconcileMembers(testShard, members(group[0], group[1], fresh))
+		require.NoError(t, group[2].Drain(context.Background()))
 		status, _ := group[2].Status(testShard)
 		require.True(t, status.Removed)
 		require.Len(t, fresh.records(testShard), 5)
 	})
 }
 
-func TestPlannedStopWithoutSuccessorDoesNotWait(t *testing.T) {
+func TestDrainWithoutReplacementDoesNotWait(t *testing.T) {
 	inGroup(t, func(t *testing.T, _ *network, group []*daemon) {
-		group[0].Reconcile(testShard, members(group...))
+		group[0].ReconcileMembers(testShard, members(group...))
 		began := time.Now()
-		require.NoError(t, group[2].HandOver(context.Background()))
+		require.NoError(t, group[2].Drain(context.Background()))
 		require.Less(t, time.Since(began), 2*time.Second)
 		status, _ := group[2].Status(testShard)
 		require.False(t, status.Removed)
 	})
 }
 
-func TestMembersBegunByMessagesLearnTheGroup(t *testing.T) {
+func TestReplicasCreatedByMessagesLearnMembership(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(time.Millisecond)
 		defer n.closeAll(t)
 		a, b, c := n.start(t, "a", 1, nil), n.start(t, "b", 1, nil), n.start(t, "c", 1, nil)
 		// Only a hears of the genesis.
-		require.NoError(t, a.Create(Group{Shard: testShard, Members: members(a, b, c)}))
+		require.NoError(t, a.CreateReplica(InitialGroup{Shard: testShard, Members: members(a, b, c)}))
 		_, err := a.EnsureLeader(context.Background(), testShard)
 		require.NoError(t, err)
 		proposeMany(t, a, "x", 1)
@@ -182,7 +182,7 @@
 	})
 }
 
-func TestLaggingMemberThatIsAskedWakesTheOther(t *testing.T) {
+func TestEnsureLeaderAtLaggingMemberElectsAnother(t *testing.T) {
 	inGroup(t, func(t *testing.T, n *network, group []*daemon) {
 		n.isolate(group[2], true)
 		proposeMany(t, group[0], "x", 3)
@@ -209,7 +209,7 @@
 	})
 }
 
-func TestPausedLeaderDoesNoHarmWhenItWakes(t *testing.T) {
+func TestIsolatedLeaderCannotCommitAfterReconnecting(t *testing.T) {
 	inGroup(t, func(t *testing.T, n *network, group []*daemon) {
 		proposeMany(t, group[0], "x", 2)
 		n.isolate(group[0], true)
@@ -247,22 +247,22 @@
 	})
 }
 
-func TestLeadershipIsToldInOrder(t *testing.T) {
+func TestLeadershipChangesAreReportedInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(time.Millisecond)
 		var told []leadershipNotice
 		d := n.start(t, "a", 1, func(o *Options) {
-			o.OnLeadership = func(shard structs.ShardID, leading bool, term uint64) {
+			o.OnLeadershipChange = func(shard structs.ShardID, leading bool, term uint64) {
 				told = append(told, leadershipNotice{shard: shard, leading: leading, term: term})
 			}
 		})
 		other := n.start(t, "b", 1, nil)
 		for _, each := range []*daemon{d, other} {
-			require.NoError(t, each.Create(Group{Shard: testShard, Members: members(d, other)}))
+			require.NoError(t, each.CreateReplica(InitialGroup{Shard: testShard, Members: members(d, other)}))
 		}
 		_, err := d.EnsureLeader(context.Background(), testShard)
 		require.NoError(t, err)
-		require.NoError(t, d.HandOver(context.Background()))
+		require.NoError(t, d.Drain(context.Background()))
 		time.Sleep(time.Second)
 		synctest.Wait()
 		require.Equal(t, []leadershipNotice{
--- a/internal/replication/memory_test.go
+++ b/internal/replication/memory_test.go
@@ -12,20 +12,20 @@
 // durable is a storage that outlives the hosts that use it, as a disk does.
 type durable struct {
 	mutex  sync.Mutex
-	shards map[structs.ShardID]Stored
+	shards map[structs.ShardID]StoredShard
 }
 
-func (d *durable) Load() (map[structs.ShardID]Stored, error) {
+func (d *durable) Load() (map[structs.ShardID]StoredShard, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return maps.Clone(d.shards), nil
 }
 
-func (d *durable) Write(writes []Write) error {
+func (d *durable) Write(writes []ShardWrite) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.shards == nil {
-		d.shards = map[structs.ShardID]Stored{}
+		d.shards = map[structs.ShardID]StoredShard{}
 	}
 	for _, write := range writes {
 		d.shards[write.Shard] = changed(d.shards[write.Shard], write)
@@ -33,9 +33,9 @@
 	return nil
 }
 
-func changed(stored Stored, write Write) Stored {
+func changed(stored StoredShard, write ShardWrite) StoredShard {
 	if write.Remove {
-		stored = Stored{}
+		stored = StoredShard{}
 	}
 	if write.State != nil {
 		stored.State = write.State
@@ -43,7 +43,7 @@
 	if write.Snapshot != nil {
 		stored.Snapshot = *write.Snapshot
 		stored.Entries = slices.DeleteFunc(slices.Clone(stored.Entries), func(e *journalv1.Entry) bool {
-			return !write.KeepLater || e.Index <= write.Snapshot.Index
+			return !write.KeepLaterEntries || e.Index <= write.Snapshot.Index
 		})
 	}
 	if len(write.Entries) > 0 {
--- a/internal/replication/network_test.go
+++ b/internal/replication/network_test.go
@@ -204,7 +204,7 @@
 		daemons = append(daemons, n.start(t, string(rune('a'+i)), 1, nil))
 	}
 	for _, d := range daemons {
-		require.NoError(t, d.Create(Group{Shard: testShard, Members: members(daemons...)}))
+		require.NoError(t, d.CreateReplica(InitialGroup{Shard: testShard, Members: members(daemons...)}))
 	}
 	return daemons
 }
--- a/internal/replication/notifier.go
+++ b/internal/replication/notifier.go
@@ -6,7 +6,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// notifier calls OnLeadership from a goroutine of its own, in order, so that
+// notifier calls OnLeadershipChange from a goroutine of its own, in order, so that
 // the callee may call the host.
 type notifier struct {
 	call    func(shard structs.ShardID, leading bool, term uint64)
--- a/internal/replication/persist.go
+++ b/internal/replication/persist.go
@@ -12,17 +12,17 @@
 
 // store hands a Ready to the store, or, without one, reports it stored at once.
 func (s *shard) store(ready journal.Ready) {
-	stored := &inputStored{shard: s, messages: ready.Messages}
+	stored := &inputStored{shard: s, messages: ready.MessagesAfterStore}
 	if count := len(ready.Entries); count > 0 {
 		last := ready.Entries[count-1]
 		stored.index, stored.term = last.Index, last.Term
 	}
 	if s.host.store == nil {
-		s.worker.send(ready.Messages)
+		s.worker.send(ready.MessagesAfterStore)
 		s.replica.Persisted(stored.index, stored.term)
 		return
 	}
-	write := Write{Shard: s.id, State: ready.State, Snapshot: ready.Snapshot, Entries: ready.Entries}
+	write := ShardWrite{Shard: s.id, State: ready.State, Snapshot: ready.Snapshot, Entries: ready.Entries}
 	if s.genesis != nil && write.Snapshot == nil {
 		write.Snapshot = s.genesis
 	}
@@ -34,7 +34,7 @@
 	for _, entry := range ready.Entries {
 		s.logBytes += len(entry.Data)
 	}
-	if write.empty() && len(ready.Messages) == 0 {
+	if write.empty() && len(ready.MessagesAfterStore) == 0 {
 		return
 	}
 	s.host.store.write(write, func() { s.worker.post(stored) })
@@ -43,8 +43,8 @@
 // compact bounds the log in memory and in the store. In memory the applied
 // state stands for the dropped entries, and no snapshot is made.
 func (s *shard) compact() {
-	if s.replica.LogBytes() > 2*s.host.options.LogBytes {
-		s.replica.Compact(s.host.options.LogBytes)
+	if s.replica.LogBytes() > 2*s.host.options.RetainedLogBytes {
+		s.replica.Compact(s.host.options.RetainedLogBytes)
 	}
 	if s.host.store == nil || s.logBytes < max(minimumSnapshotBytes, s.snapshotBytes) {
 		return
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -69,15 +69,15 @@
 }
 
 func (s *shard) notLeader() error {
-	_, _, leader, _, _ := s.replica.Position()
-	if leader.Life() == s.host.self {
+	_, _, leader, _, _ := s.replica.BasicStatus()
+	if leader.WithoutAdmission() == s.host.self {
 		leader = journal.MemberID{}
 	}
 	return &failure.NotLeader{Shard: uint32(s.id), Leader: string(leader.Node)}
 }
 
 func (s *shard) translate(err error) error {
-	var full *journal.Full
+	var full *journal.UncommittedLimitReached
 	if errors.As(err, &full) {
 		return &failure.Overloaded{Resource: "journal", Wait: overloadedWaitTicks * s.host.options.TickInterval}
 	}
@@ -133,7 +133,7 @@
 	if len(s.ensuring) == 0 {
 		return
 	}
-	role, _, leader, _, _ := s.replica.Position()
+	role, _, leader, _, _ := s.replica.BasicStatus()
 	if s.replica.LeaderConfirmed() && (role != journal.Leader || s.serving()) {
 		for _, waiting := range s.ensuring {
 			waiting.leader = leader.Node
@@ -142,7 +142,7 @@
 		s.ensuring = nil
 		return
 	}
-	if leader == (journal.MemberID{}) && !s.replica.Voter() {
+	if leader == (journal.MemberID{}) && !s.replica.IsVoter() {
 		s.failEnsuring(0, s.notLeader())
 		return
 	}
@@ -170,6 +170,6 @@
 
 // term returns the replica's present term.
 func (s *shard) term() uint64 {
-	_, term, _, _, _ := s.replica.Position()
+	_, term, _, _, _ := s.replica.BasicStatus()
 	return term
 }
