--- a/internal/replication/shard.go
+++ b/internal/replication/shard.go
@@ -34,7 +34,7 @@
 
 	genesis *journal.Snapshot
 	wanted  []Member
-	// servingTerm is the term in which OnLeadership was told of leading, or 0.
+	// servingTerm is the term in which OnLeadershipChange was told of leading, or 0.
 	servingTerm uint64
 	// membersIndex is the membership whose suspicions were looked up.
 	membersIndex uint64
@@ -51,7 +51,7 @@
 
 func newShard(h *Host, id structs.ShardID, w *worker, replica *journal.Replica) *shard {
 	s := &shard{host: h, id: id, worker: w, replica: replica, machine: h.options.NewStateMachine(id)}
-	_, _, _, _, s.applied = replica.Position()
+	_, _, _, _, s.applied = replica.BasicStatus()
 	s.refreshSuspicion()
 	s.publish()
 	return s
@@ -90,15 +90,15 @@
 }
 
 func (s *shard) handle(ready journal.Ready) {
-	s.worker.send(ready.Early)
+	s.worker.send(ready.ImmediateMessages)
 	s.store(ready)
 	if ready.Snapshot != nil {
 		s.jobs.restore, s.jobs.deferred = ready.Snapshot, nil
 		s.startJob()
 	}
-	s.applyAll(ready.Committed)
-	s.jobs.confirmed = max(s.jobs.confirmed, ready.Confirmed)
-	s.jobs.offer = s.jobs.offer || ready.SnapshotWanted
+	s.applyAll(ready.CommittedEntries)
+	s.jobs.confirmed = max(s.jobs.confirmed, ready.ConfirmedRound)
+	s.jobs.offer = s.jobs.offer || ready.SnapshotNeeded
 	s.startJob()
 	if ready.Removed {
 		s.leave()
@@ -133,7 +133,7 @@
 // noteLeadership tells the daemon of changes, and those who wait on a
 // leadership that is over.
 func (s *shard) noteLeadership() {
-	role, term, _, _, _ := s.replica.Position()
+	role, term, _, _, _ := s.replica.BasicStatus()
 	serving := s.serving()
 	if s.servingTerm != 0 && (!serving || term != s.servingTerm) {
 		eventNotLeading.Log("shard", s.id, "term", s.servingTerm)
@@ -157,16 +157,16 @@
 func (s *shard) serving() bool { return s.replica.Serving() && s.jobs.idle() }
 
 func (s *shard) publish() {
-	role, term, leader, commit, _ := s.replica.Position()
+	role, term, leader, commit, _ := s.replica.BasicStatus()
 	s.status.Store(&Status{
 		Shard: s.id, Role: role, Term: term, Leader: leader.Node, Serving: s.serving(),
-		Members: s.replica.Members(), MembersIndex: s.replica.MembershipIndex(), Commit: commit, Applied: s.applied, Leaving: s.replica.Leaving(),
-		Search: s.replica.Search(),
+		Members: s.replica.Members(), MembershipIndex: s.replica.MembershipIndex(), CommitIndex: commit, AppliedIndex: s.applied, RemovalPending: s.replica.Leaving(),
+		LeaderSearch: s.replica.LeaderSearch(),
 	})
 }
 
 func (s *shard) needsTicks() bool {
-	return !s.dropped && (s.replica.Active() || len(s.ensuring) > 0)
+	return !s.dropped && (s.replica.NeedsTicks() || len(s.ensuring) > 0)
 }
 
 func (s *shard) tick() {
@@ -182,7 +182,7 @@
 func (s *shard) reconcile(wanted []Member) {
 	s.wanted = wanted
 	s.refreshSuspicion()
-	s.replica.SetWanted(wanted)
+	s.replica.SetDesiredVoters(wanted)
 }
 
 // leave drops the replica of a group that goes on without it.
@@ -193,7 +193,7 @@
 	s.drop(s.notLeader())
 	s.host.dropShard(s, tombstone)
 	if s.host.store != nil {
-		s.host.store.write(Write{Shard: s.id, State: tombstone, Remove: true}, nil)
+		s.host.store.write(ShardWrite{Shard: s.id, State: tombstone, Remove: true}, nil)
 	}
 }
 
--- a/internal/replication/status.go
+++ b/internal/replication/status.go
@@ -18,14 +18,14 @@
 	Serving bool
 	// Members are the group's members as far as this daemon knows.
 	Members []Member
-	// MembersIndex orders memberships: the higher one is newer.
-	MembersIndex    uint64
-	Commit, Applied uint64
-	// Leaving says that the group is about to go on without this daemon, as far
+	// MembershipIndex orders memberships: the higher one is newer.
+	MembershipIndex           uint64
+	CommitIndex, AppliedIndex uint64
+	// RemovalPending says that the group is about to go on without this daemon, as far
 	// as it was told.
-	Leaving bool
-	// Search is how the search for a leader goes, where none is known.
-	Search journal.Search
+	RemovalPending bool
+	// LeaderSearch is how the search for a leader goes, where none is known.
+	LeaderSearch journal.LeaderSearch
 	// Removed says that the group goes on without this daemon.
 	Removed bool
 }
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -13,42 +13,42 @@
 // Storage keeps what members must not forget.
 type Storage interface {
 	// Load returns all shards.
-	Load() (map[structs.ShardID]Stored, error)
-	// Write stores all writes in their order, or none; they are durable when it
+	Load() (map[structs.ShardID]StoredShard, error)
+	// ShardWrite stores all writes in their order, or none; they are durable when it
 	// returns nil.
-	Write(writes []Write) error
+	Write(writes []ShardWrite) error
 	Close() error
 }
 
-// Stored is what a storage holds of one shard.
-type Stored struct {
+// StoredShard is what a storage holds of one shard.
+type StoredShard struct {
 	State    *journalv1.State
 	Snapshot journal.Snapshot
 	Entries  []*journalv1.Entry
 }
 
-// Restored returns it in the form that a replica goes on from.
-func (s Stored) Restored() journal.Restored {
-	return journal.Restored{
+// RestoredReplica returns it in the form that a replica goes on from.
+func (s StoredShard) RestoredReplica() journal.InitialState {
+	return journal.InitialState{
 		State: s.State, Index: s.Snapshot.Index, Term: s.Snapshot.Term,
 		Membership: s.Snapshot.Membership, Entries: s.Entries,
 	}
 }
 
-// Write is a change of one shard.
-type Write struct {
+// ShardWrite is a change of one shard.
+type ShardWrite struct {
 	Shard structs.ShardID
 	// Remove drops all but State, which is the tombstone.
 	Remove bool
 	State  *journalv1.State
-	// Snapshot replaces what is stored; with KeepLater only up to its index.
-	Snapshot  *journal.Snapshot
-	KeepLater bool
+	// Snapshot replaces what is stored; with KeepLaterEntries only up to its index.
+	Snapshot         *journal.Snapshot
+	KeepLaterEntries bool
 	// Entries replace stored entries from the first one's index on.
 	Entries []*journalv1.Entry
 }
 
-func (w *Write) empty() bool {
+func (w *ShardWrite) empty() bool {
 	return !w.Remove && w.State == nil && w.Snapshot == nil && len(w.Entries) == 0
 }
 
@@ -64,7 +64,7 @@
 }
 
 type queuedWrite struct {
-	write Write
+	write ShardWrite
 	done  func()
 }
 
@@ -73,7 +73,7 @@
 }
 
 // write queues a write; done, if not nil, is called once it is durable.
-func (w *writer) write(write Write, done func()) {
+func (w *writer) write(write ShardWrite, done func()) {
 	w.mutex.Lock()
 	w.queue = append(w.queue, queuedWrite{write: write, done: done})
 	w.mutex.Unlock()
@@ -99,7 +99,7 @@
 	queue := w.queue
 	w.queue = nil
 	w.mutex.Unlock()
-	writes := make([]Write, 0, len(queue))
+	writes := make([]ShardWrite, 0, len(queue))
 	for _, item := range queue {
 		if !item.write.empty() {
 			writes = append(writes, item.write)
--- a/internal/replication/suspicion.go
+++ b/internal/replication/suspicion.go
@@ -14,12 +14,12 @@
 // that are suspected or alive again.
 const nodesInterval = 200 * time.Millisecond
 
-// flagLifetime is how long NodeSuspected counts. A node that is gone is by then
+// flagLifetime is how long SuspectNode counts. A node that is gone is by then
 // suspected in the view; one that is not must not be left out for ever, since
 // it is heard only when it is sent something.
 const flagLifetime = 2 * time.Second
 
-// suspects holds the nodes that NodeSuspected named and that were not heard
+// suspects holds the nodes that SuspectNode named and that were not heard
 // since, and the last view of the cluster.
 type suspects struct {
 	flagged sync.Map // structs.NodeID -> flag
@@ -130,10 +130,10 @@
 	return changed
 }
 
-// NodeSuspected tells the host that the failure detector suspects a node. The
+// SuspectNode tells the host that the failure detector suspects a node. The
 // suspicion lasts until the node is heard here again, and at most 2 s beyond
 // what the view of the cluster says.
-func (h *Host) NodeSuspected(id structs.NodeID) {
+func (h *Host) SuspectNode(id structs.NodeID) {
 	h.suspects.flag(id)
 	h.refreshSuspicions()
 }
@@ -167,7 +167,7 @@
 func (s *shard) refreshSuspicion() {
 	s.membersIndex = s.replica.MembershipIndex()
 	for _, member := range slices.Concat(s.replica.Members(), s.wanted) {
-		if member.ID().Life() != s.host.self {
+		if member.ID().WithoutAdmission() != s.host.self {
 			s.replica.SetSuspected(member.ID(), s.host.suspects.suspected(member))
 		}
 	}
--- a/internal/replication/worker.go
+++ b/internal/replication/worker.go
@@ -108,7 +108,7 @@
 
 func (w *worker) send(envelopes []journal.Envelope) {
 	for _, envelope := range envelopes {
-		to := envelope.To.Life()
+		to := envelope.To.WithoutAdmission()
 		w.outbox[to] = append(w.outbox[to], envelope.Message)
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	table := NewTable(&Configuration{Version: 3, Routes: []Route{
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
 		{Name: "long", Host: "a.example", Prefix: "/x/y/"},
@@ -21,9 +21,9 @@
 	require.Equal(t, uint64(3), table.Version())
 }
 
-// TestMatchAgainstAPlainSearch compares the table with a search through all
+// TestMatchAgreesWithLinearSearch compares the table with a search through all
 // routes.
-func TestMatchAgainstAPlainSearch(t *testing.T) {
+func TestMatchAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"a", "b", "ab"})
 		prefix := rapid.Map(rapid.SliceOfN(segment, 0, 3), func(parts []string) string {
@@ -51,8 +51,8 @@
 	})
 }
 
-// TestNoPartIsEverFarOffItsShare holds for any weights and any moment.
-func TestNoPartIsEverFarOffItsShare(t *testing.T) {
+// TestSplitterKeepsShares holds for any weights and any moment.
+func TestSplitterKeepsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 4).Draw(t, "weights")
 		declared := &Route{Name: "r"}
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestAPartWithoutWeightGetsNothing(t *testing.T) {
+func TestPartWithoutWeightIsNotChosen(t *testing.T) {
 	splitter := NewSplitter()
 	declared := &Route{Name: "r", Parts: []Part{{Service: "a"}, {Service: "b"}}}
 	require.Empty(t, splitter.Next(declared))
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -54,11 +54,11 @@
 	return service
 }
 
-// AsksForKeys reports whether requests need a key, except on public routes.
-func (t *Table) AsksForKeys() bool { return len(t.configuration.Tenants) > 0 }
+// RequiresKeys reports whether requests need a key, except on public routes.
+func (t *Table) RequiresKeys() bool { return len(t.configuration.Tenants) > 0 }
 
-// Confines reports whether any route or tenant may be served in some regions alone.
-func (t *Table) Confines() bool {
+// RestrictsRegions reports whether any route or tenant may be served in some regions alone.
+func (t *Table) RestrictsRegions() bool {
 	return slices.ContainsFunc(t.configuration.Routes, func(route Route) bool { return len(route.Regions) > 0 }) ||
 		slices.ContainsFunc(t.configuration.Tenants, func(tenant Tenant) bool { return len(tenant.Regions) > 0 })
 }
--- a/internal/route/tenant.go
+++ b/internal/route/tenant.go
@@ -17,23 +17,23 @@
 // MarshalText writes the hash in hexadecimal digits.
 func (h KeyHash) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(h[:])), nil }
 
-// UnmarshalText reads what MarshalText writes. Its error is a *BadKeyHash.
+// UnmarshalText reads what MarshalText writes. Its error is a *InvalidKeyHash.
 func (h *KeyHash) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(h) {
-		return &BadKeyHash{Length: len(text)}
+		return &InvalidKeyHash{Length: len(text)}
 	}
 	if _, err := hex.Decode(h[:], text); err != nil {
-		return &BadKeyHash{Length: len(text)}
+		return &InvalidKeyHash{Length: len(text)}
 	}
 	return nil
 }
 
-// BadKeyHash reports a text that is no hash of a key. It does not repeat the text.
-type BadKeyHash struct {
+// InvalidKeyHash reports a text that is no hash of a key. It does not repeat the text.
+type InvalidKeyHash struct {
 	Length int
 }
 
-func (e *BadKeyHash) Error() string {
+func (e *InvalidKeyHash) Error() string {
 	return fmt.Sprintf("%d characters are no hash of a key, which has %d", e.Length, hex.EncodedLen(sha256.Size))
 }
 
@@ -61,9 +61,9 @@
 // Bounded reports whether there is a bound at all.
 func (q Quota) Bounded() bool { return q.Rate > 0 }
 
-// Urgency ranks a tenant's request on a route, the most urgent first at 0: by the tenant's
+// PriorityRank ranks a tenant's request on a route, the most urgent first at 0: by the tenant's
 // priority where it has one, then by the route's.
-func Urgency(route *Route, tenant *Tenant) int {
+func PriorityRank(route *Route, tenant *Tenant) int {
 	if tenant == nil || tenant.Priority == nil {
 		return urgencyStep * route.Priority
 	}
--- a/internal/route/tenant_test.go
+++ b/internal/route/tenant_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestAConfigurationPassesOnHashesOfKeysAlone(t *testing.T) {
+func TestConfigurationContainsOnlyKeyHashes(t *testing.T) {
 	const key = "gjqnirth5mgjy5rcpihh"
 	priority := 0
 	configuration := &Configuration{Version: 1, Tenants: []Tenant{
@@ -24,11 +24,11 @@
 	require.Equal(t, "north", NewTable(passedOn).Tenant(HashKey(key)).Name)
 }
 
-func TestATextThatIsNoHashIsRefusedAndNotRepeated(t *testing.T) {
+func TestInvalidKeyHashIsRejectedWithoutRepeatingIt(t *testing.T) {
 	for _, text := range []string{"", "secret", strings.Repeat("zz", 32), strings.Repeat("ab", 33)} {
 		var hash KeyHash
 		err := hash.UnmarshalText([]byte(text))
-		var bad *BadKeyHash
+		var bad *InvalidKeyHash
 		require.ErrorAs(t, err, &bad)
 		if text != "" {
 			require.NotContains(t, err.Error(), text)
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestTheTenantOfAKeyAgainstAPlainSearch compares the index with a search through all keys.
-func TestTheTenantOfAKeyAgainstAPlainSearch(t *testing.T) {
+// TestTenantAgreesWithLinearSearch compares the index with a search through all keys.
+func TestTenantAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		// Hashes that begin alike share a place of the index.
 		hash := rapid.Custom(func(t *rapid.T) (made KeyHash) {
@@ -67,12 +67,12 @@
 	})
 }
 
-func TestATenantsPriorityGoesBeforeItsRoutes(t *testing.T) {
+func TestTenantPriorityPrecedesRoutePriority(t *testing.T) {
 	urgent, later := &Route{Priority: 0}, &Route{Priority: 1}
 	first, second := 0, 1
 	ahead, behind, unranked := &Tenant{Priority: &first}, &Tenant{Priority: &second}, &Tenant{}
-	require.Less(t, Urgency(later, ahead), Urgency(urgent, behind))
-	require.Less(t, Urgency(urgent, ahead), Urgency(later, ahead), "within a tenant the more urgent route stays first")
-	require.Less(t, Urgency(urgent, unranked), Urgency(later, unranked))
-	require.Equal(t, Urgency(urgent, nil), Urgency(urgent, unranked))
+	require.Less(t, PriorityRank(later, ahead), PriorityRank(urgent, behind))
+	require.Less(t, PriorityRank(urgent, ahead), PriorityRank(later, ahead), "within a tenant the more urgent route stays first")
+	require.Less(t, PriorityRank(urgent, unranked), PriorityRank(later, unranked))
+	require.Equal(t, PriorityRank(urgent, nil), PriorityRank(urgent, unranked))
 }
--- a/internal/schedule/admission.go
+++ b/internal/schedule/admission.go
@@ -43,6 +43,6 @@
 	if growth == 0 {
 		growth = unknownGrowth
 	}
-	need := request.PromptTokens + request.MaxAnswerTokens + growth + engine.OwnQueuedTokens
+	need := request.PromptTokens + request.MaxAnswerTokens + growth + engine.DispatchedTokens
 	return float64(engine.CacheUsedTokens+need) <= admissionFill*float64(engine.CacheCapacityTokens)
 }
--- a/internal/schedule/admission_test.go
+++ b/internal/schedule/admission_test.go
@@ -9,7 +9,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-func TestNewProgramsNeedRoomToGrow(t *testing.T) {
+func TestNewProgramsNeedMemoryForGrowth(t *testing.T) {
 	engine, request := idleEngine("one"), testRequest()
 	engine.CacheUsedTokens = 80_000
 	require.True(t, hasRoom(&engine, request))
@@ -18,7 +18,7 @@
 	request.ExpectedGrowth = 0
 	engine.CacheUsedTokens = 90_000
 	require.False(t, hasRoom(&engine, request))
-	engine.OwnQueuedTokens, engine.CacheUsedTokens = 90_000, 0
+	engine.DispatchedTokens, engine.CacheUsedTokens = 90_000, 0
 	require.False(t, hasRoom(&engine, request), "what was sent since the report counts")
 	engine.CacheCapacityTokens = 0
 	require.True(t, hasRoom(&engine, request), "nothing is known of the engine's memory")
@@ -33,7 +33,7 @@
 	return snapshot
 }
 
-func TestNewProgramsAreHeldOnlyWhereNoEngineHasRoom(t *testing.T) {
+func TestNewProgramsAreDeferredOnlyIfNoEngineHasMemory(t *testing.T) {
 	snapshot := fullEngines()
 	require.Equal(t, admissionInterval, chosen(t, "program-aware", snapshot, testRequest()).Defer)
 	snapshot.Engines[1].CacheUsedTokens = 0
@@ -46,11 +46,11 @@
 	}
 }
 
-func TestProgramsUnderWayAreNeverHeld(t *testing.T) {
+func TestRunningProgramsAreNeverDeferred(t *testing.T) {
 	changes := map[string]func(*Request){
-		"served before":      func(r *Request) { r.Received = time.Second },
+		"served before":      func(r *Request) { r.EngineTimeUsed = time.Second },
 		"sub-agent":          func(r *Request) { r.ParentEngine = "two" },
-		"cached":             func(r *Request) { r.Cached = map[structs.EngineID]int64{"two": 5} },
+		"cached":             func(r *Request) { r.CachedTokens = map[structs.EngineID]int64{"two": 5} },
 		"without a deadline": func(r *Request) { r.Deadline = time.Time{} },
 	}
 	for name, change := range changes {
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestHoldingEndsBeforeTheDeadline(t *testing.T) {
+func TestDeferralEndsBeforeDeadline(t *testing.T) {
 	request := testRequest()
 	half := request.Started.Add(request.Deadline.Sub(request.Started) / 2)
 	for at, held := range map[time.Time]time.Duration{half.Add(-time.Millisecond): admissionInterval, half: 0} {
--- a/internal/schedule/baseline.go
+++ b/internal/schedule/baseline.go
@@ -43,7 +43,7 @@
 
 // streams counts the engine's streams, reported and dispatched since.
 func streams(engine *Engine) int {
-	return engine.Running + engine.Waiting + engine.OwnRunning
+	return engine.Running + engine.Waiting + engine.DispatchedStreams
 }
 
 // plainChoice is a choice without hints to the engine.
--- a/internal/schedule/baseline_test.go
+++ b/internal/schedule/baseline_test.go
@@ -30,11 +30,11 @@
 	snapshot.Engines[0].Running = 5
 	snapshot.Engines[1].Running = 6
 	require.Equal(t, structs.EngineID("one"), chosen(t, "least-loaded", snapshot, testRequest()).Engine)
-	snapshot.Engines[0].OwnRunning = 2
+	snapshot.Engines[0].DispatchedStreams = 2
 	require.Equal(t, structs.EngineID("two"), chosen(t, "least-loaded", snapshot, testRequest()).Engine)
 }
 
-func TestRoundRobinTakesTurns(t *testing.T) {
+func TestRoundRobinDistributesEvenly(t *testing.T) {
 	policy, seen := policyOf(t, "round-robin"), map[structs.EngineID]int{}
 	for range 9 {
 		choice, err := policy.Choose(testNow, threeEngines(), testRequest(), nil)
@@ -44,15 +44,15 @@
 	require.Equal(t, map[structs.EngineID]int{"one": 3, "two": 3, "three": 3}, seen)
 }
 
-func TestAffinityFollowsTheLongestPrefix(t *testing.T) {
+func TestAffinityChoosesLongestPrefix(t *testing.T) {
 	request := testRequest()
-	request.Cached = map[structs.EngineID]int64{"one": 10, "three": 900}
+	request.CachedTokens = map[structs.EngineID]int64{"one": 10, "three": 900}
 	snapshot := threeEngines()
 	snapshot.Engines[2].Running = 30
 	require.Equal(t, structs.EngineID("three"), chosen(t, "affinity", snapshot, request).Engine)
 }
 
-func TestRandomTwoNeverTakesTheMostLoaded(t *testing.T) {
+func TestRandomTwoNeverChoosesMostLoaded(t *testing.T) {
 	snapshot, random := threeEngines(), testRandom()
 	snapshot.Engines[1].Running = 30
 	for range 50 {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestPauseEstimatorPrefersTheHint(t *testing.T) {
+func TestPauseEstimatorPrefersHint(t *testing.T) {
 	estimator := NewPauseEstimator()
 	require.Zero(t, estimator.Expected("door-session", 0))
 	estimator.Observe("door-session", 10*time.Second)
@@ -72,13 +72,13 @@
 	require.Zero(t, estimator.Expected("rebalance", 0))
 }
 
-func TestUnknownPolicyIsRefused(t *testing.T) {
+func TestUnknownPolicyIsAnError(t *testing.T) {
 	_, err := New("oracle")
 	var unknown *UnknownPolicy
 	require.ErrorAs(t, err, &unknown)
 }
 
-func TestGrowthEstimatorLearnsByName(t *testing.T) {
+func TestGrowthEstimatorAveragesByName(t *testing.T) {
 	estimator := NewGrowthEstimator()
 	require.Zero(t, estimator.Expected("nominate"))
 	estimator.Observe("nominate", 10_000)
--- a/internal/schedule/belief.go
+++ b/internal/schedule/belief.go
@@ -9,10 +9,10 @@
 // cachedOn is the number of the prompt's tokens believed to be cached on an
 // engine: the program's own, or its parent's before its first call.
 func (r *Request) cachedOn(engine structs.EngineID) int64 {
-	if len(r.Cached) == 0 && engine == r.ParentEngine && engine != "" {
+	if len(r.CachedTokens) == 0 && engine == r.ParentEngine && engine != "" {
 		return int64(parentShare * float64(r.PromptTokens))
 	}
-	return min(r.Cached[engine], r.PromptTokens)
+	return min(r.CachedTokens[engine], r.PromptTokens)
 }
 
 // missing is the number of prompt tokens that the engine is believed to lack.
@@ -24,7 +24,7 @@
 // believed to hold; zero where the given one holds as much.
 func (r *Request) longestCached(except *Engine) int64 {
 	longest := int64(0)
-	for id := range r.Cached {
+	for id := range r.CachedTokens {
 		if id != except.ID {
 			longest = max(longest, r.cachedOn(id))
 		}
@@ -37,5 +37,5 @@
 
 // isUnderWay reports whether the program or its parent has been served before.
 func (r *Request) isUnderWay() bool {
-	return r.Received > 0 || r.ParentEngine != "" || len(r.Cached) > 0
+	return r.EngineTimeUsed > 0 || r.ParentEngine != "" || len(r.CachedTokens) > 0
 }
--- a/internal/schedule/cost.go
+++ b/internal/schedule/cost.go
@@ -15,16 +15,16 @@
 	PrefillPerToken time.Duration
 	// MovePerToken is the time to copy one token's KV cache to another engine.
 	MovePerToken time.Duration
-	// MoveFixed is the time to set a copy up.
-	MoveFixed time.Duration
-	// LeaveMargin is how much leaving the engine with the longest prefix must
+	// MoveSetup is the time to set a copy up.
+	MoveSetup time.Duration
+	// SwitchMargin is how much leaving the engine with the longest prefix must
 	// save: the saving is a prediction from late reports that hold for one call,
 	// and a program that changes engines often has its cache nowhere.
-	LeaveMargin time.Duration
-	// AnswerTokens is the length of a usual answer.
-	AnswerTokens int64
-	// MaxBatch stands in for engines that report none.
-	MaxBatch int
+	SwitchMargin time.Duration
+	// TypicalAnswerTokens is the length of a usual answer.
+	TypicalAnswerTokens int64
+	// DefaultMaxBatch stands in for engines that report none.
+	DefaultMaxBatch int
 }
 
 // DefaultCostModel resembles an accelerator with a mid-sized model.
@@ -35,10 +35,10 @@
 		StepPerThousandContext: 60 * time.Microsecond,
 		PrefillPerToken:        50 * time.Microsecond,
 		MovePerToken:           5 * time.Microsecond,
-		MoveFixed:              20 * time.Millisecond,
-		LeaveMargin:            4 * time.Second,
-		AnswerTokens:           100,
-		MaxBatch:               32,
+		MoveSetup:              20 * time.Millisecond,
+		SwitchMargin:           4 * time.Second,
+		TypicalAnswerTokens:    100,
+		DefaultMaxBatch:        32,
 	}
 }
 
@@ -47,7 +47,7 @@
 	if engine.MaxBatch > 0 {
 		return engine.MaxBatch
 	}
-	return m.MaxBatch
+	return m.DefaultMaxBatch
 }
 
 // batch is how many streams an engine decodes side by side.
@@ -57,7 +57,7 @@
 
 // answerTokens is the predicted length of the request's answer.
 func (m *CostModel) answerTokens(request *Request) int64 {
-	return min(m.AnswerTokens, max(request.MaxAnswerTokens, 1))
+	return min(m.TypicalAnswerTokens, max(request.MaxAnswerTokens, 1))
 }
 
 // step is the predicted time of a decode step with one more stream of the
--- a/internal/schedule/filter_place.go
+++ b/internal/schedule/filter_place.go
@@ -15,5 +15,5 @@
 // Allow asks placement.Permit, the one decision on where data may rest.
 func (permittedPlace) Allow(_ time.Time, engine *Engine, request *Request) bool {
 	policy := placement.Policy{CacheZones: request.CacheZones}
-	return placement.Permit(policy, placement.Cache, engine.Zone) == nil
+	return placement.Check(policy, placement.Cache, engine.Zone) == nil
 }
--- a/internal/schedule/filter_serving.go
+++ b/internal/schedule/filter_serving.go
@@ -15,5 +15,5 @@
 // Allow reports whether the engine is neither leaving nor excluded by an
 // earlier failure of the same call.
 func (serving) Allow(_ time.Time, engine *Engine, request *Request) bool {
-	return !engine.Leaving && !request.Exclude[engine.ID] && engine.Role != structs.RolePrefill
+	return !engine.Leaving && !request.Excluded[engine.ID] && engine.Role != structs.RolePrefill
 }
--- a/internal/schedule/filter_test.go
+++ b/internal/schedule/filter_test.go
@@ -34,7 +34,7 @@
 
 func testRandom() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-func TestFiltersRuleOut(t *testing.T) {
+func TestFiltersExcludeEngines(t *testing.T) {
 	cases := map[string]struct {
 		filter Filter
 		change func(*Engine, *Request)
@@ -43,7 +43,7 @@
 		"no zone permitted":    {permittedPlace{}, func(_ *Engine, r *Request) { r.CacheZones = nil }},
 		"leaving":              {serving{}, func(e *Engine, _ *Request) { e.Leaving = true }},
 		"prefill role":         {serving{}, func(e *Engine, _ *Request) { e.Role = structs.RolePrefill }},
-		"excluded":             {serving{}, func(_ *Engine, r *Request) { r.Exclude = map[structs.EngineID]bool{"one": true} }},
+		"excluded":             {serving{}, func(_ *Engine, r *Request) { r.Excluded = map[structs.EngineID]bool{"one": true} }},
 		"model not loaded":     {modelLoaded{}, func(e *Engine, _ *Request) { e.Loaded = nil }},
 		"other model loaded":   {modelLoaded{}, func(_ *Engine, r *Request) { r.Model = "other" }},
 		"adapter not loaded":   {modelLoaded{}, func(_ *Engine, r *Request) { r.Adapter = "other" }},
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestRefusalsNameTheirCause(t *testing.T) {
+func TestErrorsStateTheirCause(t *testing.T) {
 	for _, name := range Names() {
 		policy, err := New(name)
 		require.NoError(t, err)
@@ -89,9 +89,9 @@
 	engine.Loaded[0].Adapters = rapid.SampledFrom([][]string{nil, {"adapter"}, {"x", "adapter"}}).Draw(t, "adapters")
 	engine.Running = rapid.IntRange(0, 40).Draw(t, "running")
 	engine.Waiting = rapid.IntRange(0, 40).Draw(t, "waiting")
-	engine.OwnRunning = rapid.IntRange(0, 20).Draw(t, "own")
+	engine.DispatchedStreams = rapid.IntRange(0, 20).Draw(t, "own")
 	engine.QueuedTokens = rapid.Int64Range(0, 1_000_000).Draw(t, "queued")
-	engine.OwnQueuedTokens = rapid.Int64Range(0, 100_000).Draw(t, "own queued")
+	engine.DispatchedTokens = rapid.Int64Range(0, 100_000).Draw(t, "own queued")
 	engine.CacheUsedTokens = rapid.Int64Range(0, 100_000).Draw(t, "used")
 	engine.MaxBatch = rapid.IntRange(0, 32).Draw(t, "batch")
 	engine.ReportedAt = testNow.Add(-time.Duration(rapid.IntRange(-10, 100).Draw(t, "age")) * time.Second)
@@ -103,14 +103,14 @@
 	request.CacheZones = rapid.SampledFrom([][]structs.ZoneName{nil, {"a"}, {"a", "b"}, {"c"}}).Draw(t, "zones")
 	request.Adapter = rapid.SampledFrom([]string{"", "adapter"}).Draw(t, "adapter")
 	request.PromptTokens = rapid.Int64Range(1, 200_000).Draw(t, "prompt")
-	request.Cached = map[structs.EngineID]int64{}
-	request.Exclude = map[structs.EngineID]bool{}
+	request.CachedTokens = map[structs.EngineID]int64{}
+	request.Excluded = map[structs.EngineID]bool{}
 	for _, engine := range engines {
-		request.Cached[engine.ID] = rapid.Int64Range(0, 200_000).Draw(t, "cached")
-		request.Exclude[engine.ID] = rapid.IntRange(0, 3).Draw(t, "exclude") == 0
+		request.CachedTokens[engine.ID] = rapid.Int64Range(0, 200_000).Draw(t, "cached")
+		request.Excluded[engine.ID] = rapid.IntRange(0, 3).Draw(t, "exclude") == 0
 		request.ParentEngine = engine.ID
 	}
-	request.Received = time.Duration(rapid.IntRange(0, 1_000).Draw(t, "received")) * time.Second
+	request.EngineTimeUsed = time.Duration(rapid.IntRange(0, 1_000).Draw(t, "received")) * time.Second
 	request.Deadline = rapid.SampledFrom([]time.Time{{}, testNow.Add(-time.Minute), testNow.Add(time.Millisecond), testNow.Add(time.Hour)}).Draw(t, "deadline")
 	request.ExpectedPause = time.Duration(rapid.IntRange(-1, 600).Draw(t, "pause")) * time.Second
 	return request
@@ -119,7 +119,7 @@
 // Whatever the snapshot holds, no policy chooses an engine that a hard rule
 // forbids, or has one as the source of a move across a forbidden place, and
 // each refuses with a typed failure that says it did not run.
-func TestNoPolicyBreaksAHardRule(t *testing.T) {
+func TestNoPolicyViolatesMandatoryRules(t *testing.T) {
 	for _, name := range append(Names(), Variants()...) {
 		policy, err := New(name)
 		require.NoError(t, err)
@@ -162,7 +162,7 @@
 	engine := snapshot.Engines[index]
 	require.Contains(t, request.CacheZones, engine.Zone)
 	require.False(t, engine.Leaving)
-	require.False(t, request.Exclude[engine.ID])
+	require.False(t, request.Excluded[engine.ID])
 	require.NotEqual(t, structs.RolePrefill, engine.Role)
 	require.Equal(t, request.Model, engine.Loaded[0].Model)
 	if request.Adapter != "" {
@@ -176,6 +176,6 @@
 		require.GreaterOrEqual(t, source, 0)
 		require.NotEqual(t, choice.Engine, choice.MoveFrom)
 		require.Contains(t, request.CacheZones, snapshot.Engines[source].Zone)
-		require.Positive(t, request.Cached[choice.MoveFrom])
+		require.Positive(t, request.CachedTokens[choice.MoveFrom])
 	}
 }
--- a/internal/schedule/program_aware.go
+++ b/internal/schedule/program_aware.go
@@ -112,7 +112,7 @@
 	wait := predictedWait{&p.model}.Score(now, engine, request)
 	if source, held := p.moveSource(snapshot, engine, request); held > 0 {
 		made.MoveFrom = source
-		wait += p.model.MoveFixed + time.Duration(held-request.cachedOn(engine.ID))*p.model.MovePerToken
+		wait += p.model.MoveSetup + time.Duration(held-request.cachedOn(engine.ID))*p.model.MovePerToken
 		tokens = max(0, request.PromptTokens-held)
 	}
 	made.PredictedWait = wait + time.Duration(tokens)*p.model.PrefillPerToken
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -19,10 +19,10 @@
 // and what this daemon dispatched since.
 type Engine struct {
 	structs.EngineStatus
-	// OwnRunning counts streams this daemon dispatched after the report.
-	OwnRunning int
-	// OwnQueuedTokens are prompt tokens of those streams.
-	OwnQueuedTokens int64
+	// DispatchedStreams counts streams this daemon dispatched after the report.
+	DispatchedStreams int
+	// DispatchedTokens are prompt tokens of those streams.
+	DispatchedTokens int64
 }
 
 // Snapshot is the engines known at one moment. It is immutable.
@@ -45,18 +45,18 @@
 	// PromptTokens is the length of the whole prompt, history included.
 	PromptTokens    int64
 	MaxAnswerTokens int64
-	// Cached holds the tokens of this program's prefix believed to be cached on
+	// CachedTokens holds the tokens of this program's prefix believed to be cached on
 	// an engine. It is a belief: engines evict without telling at once.
-	Cached map[structs.EngineID]int64
+	CachedTokens map[structs.EngineID]int64
 	// ParentEngine holds the prefix that a sub-agent shares with its parent.
 	ParentEngine structs.EngineID
 	// SharedPrefix names the long start of the prompt that programs share, as
 	// SharedPrefixKey gives it; zero means none.
 	SharedPrefix uint64
-	// Received is the engine time that the whole program has already got. For a
+	// EngineTimeUsed is the engine time that the whole program has already got. For a
 	// sub-agent this member, Started, Deadline and Priority are those of the
 	// outermost program: its latency is the one that counts.
-	Received time.Duration
+	EngineTimeUsed time.Duration
 	// Started is when the program was opened.
 	Started time.Time
 	// Deadline is the wanted end of the whole program; zero means none.
@@ -69,8 +69,8 @@
 	// ExpectedGrowth is by how many tokens the program's prompt will grow, as a
 	// GrowthEstimator learned it; zero means unknown.
 	ExpectedGrowth int64
-	// Exclude holds engines that already failed this call.
-	Exclude map[structs.EngineID]bool
+	// Excluded holds engines that already failed this call.
+	Excluded map[structs.EngineID]bool
 }
 
 // Choice is where and how a call runs.
--- a/internal/schedule/score_cache.go
+++ b/internal/schedule/score_cache.go
@@ -25,7 +25,7 @@
 	if s.moves {
 		cost = min(cost, s.move(engine, request, source))
 	}
-	return cost + s.model.LeaveMargin
+	return cost + s.model.SwitchMargin
 }
 
 // compute is the cost of prefilling tokens on the engine.
@@ -36,6 +36,6 @@
 // move is the cost of copying what another engine holds and computing the rest.
 func (s cacheAffinity) move(engine *Engine, request *Request, source int64) time.Duration {
 	copied := max(0, source-request.cachedOn(engine.ID))
-	transfer := s.model.MoveFixed + time.Duration(copied)*s.model.MovePerToken
+	transfer := s.model.MoveSetup + time.Duration(copied)*s.model.MovePerToken
 	return transfer + s.compute(engine, max(0, request.PromptTokens-source))
 }
--- a/internal/schedule/score_memory.go
+++ b/internal/schedule/score_memory.go
@@ -14,7 +14,7 @@
 	if engine.CacheCapacityTokens == 0 {
 		return 0
 	}
-	need := missing(engine, request) + request.MaxAnswerTokens + engine.OwnQueuedTokens
+	need := missing(engine, request) + request.MaxAnswerTokens + engine.DispatchedTokens
 	free := engine.CacheCapacityTokens - engine.CacheUsedTokens
 	evicted := max(0, need-max(free, 0))
 	return time.Duration(evicted) * s.model.PrefillPerToken * time.Duration(1+s.model.batch(engine))
--- a/internal/schedule/score_test.go
+++ b/internal/schedule/score_test.go
@@ -11,19 +11,19 @@
 )
 
 // Each scorer is given a change that must make the engine dearer.
-func TestScorersPreferTheCheaperEngine(t *testing.T) {
+func TestScoresRiseWithCost(t *testing.T) {
 	model := DefaultCostModel()
 	cases := map[string]struct {
 		scorer Scorer
 		worse  func(*Engine, *Request)
 	}{
 		"wait: full batch":          {predictedWait{&model}, func(e *Engine, _ *Request) { e.Running, e.Waiting = 16, 5 }},
-		"wait: own dispatches":      {predictedWait{&model}, func(e *Engine, _ *Request) { e.OwnQueuedTokens = 10_000 }},
+		"wait: own dispatches":      {predictedWait{&model}, func(e *Engine, _ *Request) { e.DispatchedTokens = 10_000 }},
 		"decode: more streams":      {decodeSpeed{&model}, func(e *Engine, _ *Request) { e.Running = 10 }},
 		"decode: longer context":    {decodeSpeed{&model}, func(_ *Engine, r *Request) { r.PromptTokens *= 20 }},
-		"cache: not held":           {cacheAffinity{&model, false}, func(_ *Engine, r *Request) { r.Cached = nil }},
+		"cache: not held":           {cacheAffinity{&model, false}, func(_ *Engine, r *Request) { r.CachedTokens = nil }},
 		"cache: delays a batch":     {cacheAffinity{&model, false}, func(e *Engine, _ *Request) { e.Running = 10 }},
-		"cache: move costs":         {cacheAffinity{&model, true}, func(_ *Engine, r *Request) { r.Cached = map[structs.EngineID]int64{"two": 900} }},
+		"cache: move costs":         {cacheAffinity{&model, true}, func(_ *Engine, r *Request) { r.CachedTokens = map[structs.EngineID]int64{"two": 900} }},
 		"room: evicts others":       {cacheRoom{&model}, func(e *Engine, _ *Request) { e.CacheUsedTokens = 99_990 }},
 		"prefix: not a home":        {sharedPrefix{&model, 4_000}, func(e *Engine, r *Request) { makeStranger(e, r) }},
 		"prefix: longer to prefill": {sharedPrefix{&model, 4_000}, func(e *Engine, r *Request) { makeStranger(e, r); e.Running = 10 }},
@@ -31,7 +31,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			engine, request := idleEngine("one"), testRequest()
-			request.Cached = map[structs.EngineID]int64{"one": 900}
+			request.CachedTokens = map[structs.EngineID]int64{"one": 900}
 			before := test.scorer.Score(testNow, &engine, request)
 			test.worse(&engine, request)
 			require.Greater(t, test.scorer.Score(testNow, &engine, request), before)
@@ -42,23 +42,23 @@
 // makeStranger gives the request a shared prefix and no cache on the engine.
 func makeStranger(engine *Engine, request *Request) {
 	request.SharedPrefix = 42
-	request.Cached = nil
+	request.CachedTokens = nil
 	engine.ID = "three"
 }
 
-func TestMoveIsScoredBelowComputingAgain(t *testing.T) {
+func TestMoveIsCheaperThanRecomputing(t *testing.T) {
 	model, engine, request := DefaultCostModel(), idleEngine("one"), testRequest()
 	request.PromptTokens = 20_000
-	request.Cached = map[structs.EngineID]int64{"two": 19_900}
+	request.CachedTokens = map[structs.EngineID]int64{"two": 19_900}
 	engine.Running = 10
 	without := cacheAffinity{&model, false}.Score(testNow, &engine, request)
 	with := cacheAffinity{&model, true}.Score(testNow, &engine, request)
-	require.Less(t, with-model.LeaveMargin, (without-model.LeaveMargin)/2)
-	request.Cached["two"] = 10
+	require.Less(t, with-model.SwitchMargin, (without-model.SwitchMargin)/2)
+	request.CachedTokens["two"] = 10
 	require.Equal(t, cacheAffinity{&model, false}.Score(testNow, &engine, request), cacheAffinity{&model, true}.Score(testNow, &engine, request), "too little to move")
 }
 
-func TestHomesAgreeWithoutAMessage(t *testing.T) {
+func TestSharedPrefixKeyAndWeightsAreDeterministic(t *testing.T) {
 	first := make([]byte, SharedPrefixBytes)
 	key := SharedPrefixKey("model", "adapter", first)
 	require.NotZero(t, key)
@@ -69,7 +69,7 @@
 	require.NotEqual(t, rendezvous(key, "one"), rendezvous(key, "two"))
 }
 
-func TestEarlierProgramsGoFirst(t *testing.T) {
+func TestEarlierProgramsHaveEnginePriority(t *testing.T) {
 	early, late, urgent := testRequest(), testRequest(), testRequest()
 	late.Started = testNow.Add(5 * time.Second)
 	urgent.Started = late.Started
@@ -79,7 +79,7 @@
 	require.Less(t, enginePriority(urgent), enginePriority(early), "a step of priority is worth more than five seconds")
 }
 
-func TestRetentionCoversTheExpectedPause(t *testing.T) {
+func TestRetentionCoversExpectedPause(t *testing.T) {
 	request := testRequest()
 	require.Equal(t, retainUnknown, retention(request))
 	request.ExpectedPause = 20 * time.Second
@@ -90,7 +90,7 @@
 	require.Zero(t, retention(request))
 }
 
-func TestCallsThatCannotStartInTimeAreRefused(t *testing.T) {
+func TestCallsThatCannotStartInTimeAreRejected(t *testing.T) {
 	snapshot := threeEngines()
 	for index := range snapshot.Engines {
 		snapshot.Engines[index].Waiting = 500
@@ -107,10 +107,10 @@
 	require.NotEmpty(t, chosen(t, "program-aware", snapshot, request).Engine, "a program that is late already goes on")
 }
 
-func TestCandidatesHoldTheCacheWhateverTheSample(t *testing.T) {
+func TestCandidatesAlwaysIncludeEnginesWithCache(t *testing.T) {
 	snapshot := &Snapshot{}
 	request := testRequest()
-	request.Cached = map[structs.EngineID]int64{"engine-90": 900}
+	request.CachedTokens = map[structs.EngineID]int64{"engine-90": 900}
 	request.ParentEngine = "engine-70"
 	for index := range 100 {
 		snapshot.Engines = append(snapshot.Engines, idleEngine(structs.EngineID("engine-"+string(rune('0'+index/10))+string(rune('0'+index%10)))))
@@ -140,11 +140,11 @@
 	}
 }
 
-func TestCacheOfALeavingEngineIsMovedOut(t *testing.T) {
+func TestCacheOfLeavingEngineIsMoved(t *testing.T) {
 	snapshot, request := threeEngines(), testRequest()
 	snapshot.Engines[0].Leaving = true
 	request.PromptTokens = 20_000
-	request.Cached = map[structs.EngineID]int64{"one": 19_000}
+	request.CachedTokens = map[structs.EngineID]int64{"one": 19_000}
 	choice := chosen(t, "program-aware", snapshot, request)
 	require.NotEqual(t, structs.EngineID("one"), choice.Engine)
 	require.Equal(t, structs.EngineID("one"), choice.MoveFrom)
@@ -152,20 +152,20 @@
 	require.Empty(t, chosen(t, "program-aware", snapshot, request).MoveFrom, "the source stands where the cache may not rest")
 }
 
-func TestSubAgentsStartNearTheirParent(t *testing.T) {
+func TestSubAgentsStartOnParentEngine(t *testing.T) {
 	snapshot, request := threeEngines(), testRequest()
 	request.PromptTokens = 10_000
 	request.ParentEngine = "three"
 	snapshot.Engines[2].Running = 12
 	require.Equal(t, structs.EngineID("three"), chosen(t, "program-aware", snapshot, request).Engine)
 	require.Equal(t, structs.EngineID("three"), chosen(t, "affinity", snapshot, request).Engine)
-	request.Cached = map[structs.EngineID]int64{"one": 9_000}
+	request.CachedTokens = map[structs.EngineID]int64{"one": 9_000}
 	require.Equal(t, structs.EngineID("one"), chosen(t, "program-aware", snapshot, request).Engine, "its own cache counts more")
 }
 
-func TestProgramsLeaveTheirCacheOnlyForMuch(t *testing.T) {
+func TestProgramsLeaveTheirCacheOnlyForLargeSavings(t *testing.T) {
 	snapshot, request := threeEngines(), testRequest()
-	request.Cached = map[structs.EngineID]int64{"one": 900}
+	request.CachedTokens = map[structs.EngineID]int64{"one": 900}
 	snapshot.Engines[0].Running = 14
 	snapshot.Engines[1].Running = 1
 	require.Equal(t, structs.EngineID("one"), chosen(t, "program-aware", snapshot, request).Engine)
--- a/internal/schedule/score_wait.go
+++ b/internal/schedule/score_wait.go
@@ -12,7 +12,7 @@
 
 // Score returns the predicted wait in the engine's queue.
 func (s predictedWait) Score(_ time.Time, engine *Engine, request *Request) time.Duration {
-	wait := time.Duration(engine.OwnQueuedTokens) * s.model.PrefillPerToken
+	wait := time.Duration(engine.DispatchedTokens) * s.model.PrefillPerToken
 	limit := s.model.batchLimit(engine)
 	ahead := streams(engine) - limit + 1
 	if ahead <= 0 {
--- a/internal/settings/role_test.go
+++ b/internal/settings/role_test.go
@@ -83,7 +83,7 @@
 	loaded.DisabledMechanisms = []string{"affinity"}
 	require.NoError(t, loaded.ValidateGateway())
 	require.True(t, loaded.Disabled().Has(mechanism.Affinity))
-	require.False(t, loaded.Disabled().Has(mechanism.Paces))
+	require.False(t, loaded.Disabled().Has(mechanism.PaceBalancing))
 }
 
 func TestTheFactorOfColdWorkersBecomesThePartOnTop(t *testing.T) {
@@ -112,10 +112,10 @@
 func TestAnOptionalMechanismIsLeftOutUnlessItIsNamed(t *testing.T) {
 	loaded, err := loadRole(t, wholeRole)
 	require.NoError(t, err)
-	require.False(t, loaded.Enabled().Has(mechanism.LentBudgets))
+	require.False(t, loaded.Enabled().Has(mechanism.BudgetLoans))
 	loaded, err = loadRole(t, wholeRole+"enabledMechanisms: [lentBudgets]\n")
 	require.NoError(t, err)
-	require.True(t, loaded.Enabled().Has(mechanism.LentBudgets))
+	require.True(t, loaded.Enabled().Has(mechanism.BudgetLoans))
 	require.NoError(t, loaded.ValidateGateway())
 	loaded, err = loadRole(t, wholeRole+"enabledMechanisms: [affinity]\n")
 	require.NoError(t, err)
--- a/internal/simulation/daemon.go
+++ b/internal/simulation/daemon.go
@@ -67,9 +67,9 @@
 		if now.Sub(view.status.ReportedAt) > d.world.parameters.StaleAfter {
 			continue
 		}
-		seen := schedule.Engine{EngineStatus: view.status, OwnRunning: len(view.dispatches)}
+		seen := schedule.Engine{EngineStatus: view.status, DispatchedStreams: len(view.dispatches)}
 		for _, sent := range view.dispatches {
-			seen.OwnQueuedTokens += sent.tokens
+			seen.DispatchedTokens += sent.tokens
 		}
 		snapshot.Engines = append(snapshot.Engines, seen)
 	}
@@ -84,10 +84,10 @@
 		Program: r.id, Model: structs.ModelName(c.step.Target), Adapter: r.program.Adapter,
 		CacheZones: r.program.CacheZones, CallerZone: d.zone,
 		PromptTokens: r.historyTokens, MaxAnswerTokens: r.program.MaxAnswerTokens,
-		Cached: r.cached, ParentEngine: r.parentEngine, SharedPrefix: r.root.sharedPrefix, Received: r.root.received,
+		CachedTokens: r.cached, ParentEngine: r.parentEngine, SharedPrefix: r.root.sharedPrefix, EngineTimeUsed: r.root.received,
 		Started: started, Deadline: started.Add(r.root.program.Deadline), Priority: r.root.program.Priority,
 		ExpectedPause:  d.pauses.Expected(r.program.Name, c.step.ExpectedPause),
-		ExpectedGrowth: d.growth.Expected(r.program.Name), Exclude: c.excluded,
+		ExpectedGrowth: d.growth.Expected(r.program.Name), Excluded: c.excluded,
 	}
 }
 
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -23,8 +23,8 @@
 	Answers
 	// Records are calls about kept turns, budgets and limits, and their answers.
 	Records
-	// News are questions for workers, groups and configurations, and their answers.
-	News
+	// Directory are questions for workers, groups and configurations, and their answers.
+	Directory
 
 	causes
 )
@@ -39,13 +39,13 @@
 	Help: "Bytes of bodies exchanged with workers and replicas, both ways, by how far they are and what for.",
 })
 
-// Counted are the bytes of a process. Its nil value counts nothing.
-type Counted struct{ byCause [][causes]prometheus.Counter }
+// Counters are the bytes of a process. Its nil value counts nothing.
+type Counters struct{ byCause [][causes]prometheus.Counter }
 
 // New returns counters in a registry.
-func New(registry *telemetry.Registry) *Counted {
+func New(registry *telemetry.Registry) *Counters {
 	vector := registry.Counter(metricBytes)
-	counted := &Counted{byCause: make([][causes]prometheus.Counter, len(distance.Classes))}
+	counted := &Counters{byCause: make([][causes]prometheus.Counter, len(distance.Classes))}
 	for _, class := range distance.Classes {
 		for cause := range causes {
 			counted.byCause[class][cause] = vector.WithLabelValues(class.String(), cause.String())
@@ -55,7 +55,7 @@
 }
 
 // Add counts bytes.
-func (c *Counted) Add(class distance.Class, cause Cause, bytes int) {
+func (c *Counters) Add(class distance.Class, cause Cause, bytes int) {
 	if c != nil && bytes > 0 {
 		c.byCause[class][cause].Add(float64(bytes))
 	}
@@ -66,8 +66,8 @@
 	Add(class distance.Class, cause Cause, bytes int)
 }
 
-// Reader returns a reader that counts what is read of another.
-func Reader(counted Adder, from io.Reader, class distance.Class, cause Cause) io.Reader {
+// NewCountingReader returns a reader that counts what is read of another.
+func NewCountingReader(counted Adder, from io.Reader, class distance.Class, cause Cause) io.Reader {
 	return &reader{counted: counted, from: from, class: class, cause: cause}
 }
 
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -27,8 +27,8 @@
 	counted := New(registry)
 	counted.Add(distance.OtherRegion, Prompts, 100)
 	counted.Add(distance.OwnZone, Prompts, 7)
-	counted.Add(distance.OwnZone, News, -1)
-	read, err := io.ReadAll(Reader(counted, strings.NewReader("an answer"), distance.OwnRegion, Answers))
+	counted.Add(distance.OwnZone, Directory, -1)
+	read, err := io.ReadAll(NewCountingReader(counted, strings.NewReader("an answer"), distance.OwnRegion, Answers))
 	require.NoError(t, err)
 	require.Equal(t, "an answer", string(read))
 	shown := page(registry)
@@ -43,10 +43,10 @@
 	require.Equal(t, len(distance.Classes)*int(causes), strings.Count(shown, "barleyshelf_link_bytes_total{"), "labels are bounded")
 }
 
-func TestNobodyMustCount(t *testing.T) {
-	var counted *Counted
+func TestNilCountersCountNothing(t *testing.T) {
+	var counted *Counters
 	counted.Add(distance.OwnZone, Records, 5)
-	read, err := io.ReadAll(Reader(counted, strings.NewReader("x"), distance.OwnZone, Records))
+	read, err := io.ReadAll(NewCountingReader(counted, strings.NewReader("x"), distance.OwnZone, Records))
 	require.NoError(t, err)
 	require.Equal(t, "x", string(read))
 }
--- a/internal/turn/store.go
+++ b/internal/turn/store.go
@@ -32,7 +32,7 @@
 	// Record lacks what a turn says where Place is known.
 	*replicav1.Record
 	// Place is where the whole record lies in the log; zero until that is known.
-	Place recordlog.Place
+	Place recordlog.Position
 
 	position uint64
 	// retention is how long the record is kept after its last use.
@@ -45,7 +45,7 @@
 type Kept struct {
 	// Turn lacks input and output where Place is known.
 	*replicav1.Turn
-	Place recordlog.Place
+	Place recordlog.Position
 }
 
 type keptTurn struct {
@@ -101,7 +101,7 @@
 
 // Placed notes where the record at a position lies in the log. What a turn says
 // is read from there from now on.
-func (s *Store) Placed(position uint64, at recordlog.Place) {
+func (s *Store) Placed(position uint64, at recordlog.Position) {
 	i := s.search(position)
 	if i == len(s.records) || s.records[i].position != position {
 		return
--- a/internal/worker/connected_test.go
+++ b/internal/worker/connected_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTheTimeOfEachNewConnectionIsTold holds that a request on a kept connection tells none.
-func TestTheTimeOfEachNewConnectionIsTold(t *testing.T) {
+// TestOnConnectedIsCalledForNewConnections holds that a request on a kept connection tells none.
+func TestOnConnectedIsCalledForNewConnections(t *testing.T) {
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			body, err := readRequest(reader)
@@ -28,7 +28,7 @@
 	for range 3 {
 		request := &Request{
 			ID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte("r"),
-			Connected: func(took time.Duration) { told = append(told, took) },
+			OnConnected: func(took time.Duration) { told = append(told, took) },
 		}
 		got, err := pool.Send(context.Background(), address, 0, request, readHead)
 		require.NoError(t, err)
--- a/internal/worker/errors.go
+++ b/internal/worker/errors.go
@@ -26,28 +26,28 @@
 // Unwrap returns the cause.
 func (e *NotSent) Unwrap() error { return e.Cause }
 
-// Lost reports an attempt that was sent and got no whole answer head: it may
+// ResponseLost reports an attempt that was sent and got no whole answer head: it may
 // have run.
-type Lost struct {
+type ResponseLost struct {
 	// Cause is how the connection ended.
 	Cause error
 	// BodyUnread is set where the worker had not read the whole body by then.
 	BodyUnread bool
 }
 
-func (e *Lost) Error() string { return fmt.Sprintf("no answer from the worker: %v", e.Cause) }
+func (e *ResponseLost) Error() string { return fmt.Sprintf("no answer from the worker: %v", e.Cause) }
 
 // Type returns "attempt_lost".
-func (e *Lost) Type() failure.Type { return "attempt_lost" }
+func (e *ResponseLost) Type() failure.Type { return "attempt_lost" }
 
 // Outcome returns OutcomeUnknown.
-func (e *Lost) Outcome() failure.Outcome { return failure.OutcomeUnknown }
+func (e *ResponseLost) Outcome() failure.Outcome { return failure.OutcomeUnknown }
 
 // Retry forbids a repeat: the caller knows what may run twice.
-func (e *Lost) Retry() failure.Retry { return failure.Retry{} }
+func (e *ResponseLost) Retry() failure.Retry { return failure.Retry{} }
 
 // Unwrap returns the cause.
-func (e *Lost) Unwrap() error { return e.Cause }
+func (e *ResponseLost) Unwrap() error { return e.Cause }
 
 // TooManyConnections reports that a worker has as many connections from this
 // process as it may.
@@ -70,21 +70,21 @@
 // Retry allows another worker at once.
 func (e *TooManyConnections) Retry() failure.Retry { return failure.Retry{Allowed: true} }
 
-// ForeignAnswer reports an answer that does not name the request.
-type ForeignAnswer struct {
+// MismatchedResponse reports an answer that does not name the request.
+type MismatchedResponse struct {
 	// Want and Have are request ids.
 	Want, Have string
 }
 
-func (e *ForeignAnswer) Error() string {
+func (e *MismatchedResponse) Error() string {
 	return fmt.Sprintf("the answer names request %q instead of %q", e.Have, e.Want)
 }
 
 // Type returns "foreign_answer".
-func (e *ForeignAnswer) Type() failure.Type { return "foreign_answer" }
+func (e *MismatchedResponse) Type() failure.Type { return "foreign_answer" }
 
 // Outcome returns OutcomeUnknown.
-func (e *ForeignAnswer) Outcome() failure.Outcome { return failure.OutcomeUnknown }
+func (e *MismatchedResponse) Outcome() failure.Outcome { return failure.OutcomeUnknown }
 
 // Retry forbids a repeat.
-func (e *ForeignAnswer) Retry() failure.Retry { return failure.Retry{} }
+func (e *MismatchedResponse) Retry() failure.Retry { return failure.Retry{} }
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -32,50 +32,50 @@
 	// ID is echoed by the answer.
 	ID     string
 	Method string
-	// Life names the life of the worker that the request is for; only connections that were
+	// Incarnation names the life of the worker that the request is for; only connections that were
 	// opened to it are used.
-	Life string
+	Incarnation string
 	// Target is the path and query as the client sent them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Silence is how long the answer may take to begin before the worker's idle
+	// SilenceTimeout is how long the answer may take to begin before the worker's idle
 	// connections are taken to have fallen silent; 0 watches nothing.
-	Silence time.Duration
-	// Connected is told how long opening a new connection took, about a round trip; nil is
+	SilenceTimeout time.Duration
+	// OnConnected is told how long opening a new connection took, about a round trip; nil is
 	// told nothing.
-	Connected func(took time.Duration)
-	// Ready, if not nil, is asked once a connection is open, as opening one may take long,
+	OnConnected func(took time.Duration)
+	// BeforeSend, if not nil, is asked once a connection is open, as opening one may take long,
 	// and right before the request is written. Where it fails nothing is sent.
-	Ready func(ctx context.Context) error
+	BeforeSend func(ctx context.Context) error
 }
 
-// Head tells what the head of an answer says in the product's terms.
-type Head struct {
+// ResponseMetadata tells what the head of an answer says in the product's terms.
+type ResponseMetadata struct {
 	// RequestID is the request that the answer names.
 	RequestID string
-	// NotExecuted is the worker's word that it did not run the request.
-	NotExecuted bool
-	// ColdReported is set where the worker tells for how long it bears few requests, ColdLeft
+	// NotRun is the worker's word that it did not run the request.
+	NotRun bool
+	// ColdReported is set where the worker tells for how long it bears few requests, ColdRemaining
 	// that time; 0 is not at all.
-	ColdReported bool
-	ColdLeft     time.Duration
+	ColdReported  bool
+	ColdRemaining time.Duration
 }
 
-// ReadHead reads the head of an answer; the platform's adapter implements it.
-type ReadHead func(status int, header http.Header) Head
+// ReadMetadata reads the head of an answer; the platform's adapter implements it.
+type ReadMetadata func(status int, header http.Header) ResponseMetadata
 
-// Answer is a worker's answer. Body ends with io.EOF only if the answer is
+// Response is a worker's answer. Body ends with io.EOF only if the answer is
 // whole. Close must be called; it keeps the connection if all was read.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// NotExecuted is the worker's word that it did not run the request.
-	NotExecuted bool
-	// Reported is what the head says.
-	Reported Head
+	// NotRun is the worker's word that it did not run the request.
+	NotRun bool
+	// Metadata is what the head says.
+	Metadata ResponseMetadata
 
 	pool     *Pool
 	used     *connection
@@ -88,24 +88,24 @@
 // Send sends a request once and returns the answer's head. Its errors are
 // *NotSent and *Lost. When ctx ends, the connection is closed, which cancels
 // the request at the worker.
-func (p *Pool) Send(ctx context.Context, address string, limit int, request *Request, readHead ReadHead) (*Answer, error) {
-	used, err := p.get(ctx, address, request.Life, limit)
+func (p *Pool) Send(ctx context.Context, address string, limit int, request *Request, readHead ReadMetadata) (*Response, error) {
+	used, err := p.get(ctx, address, request.Incarnation, limit)
 	if err != nil {
 		return nil, &NotSent{Cause: err}
 	}
-	if request.Connected != nil && !used.kept {
-		request.Connected(used.dialed)
+	if request.OnConnected != nil && !used.kept {
+		request.OnConnected(used.dialed)
 	}
-	if request.Ready != nil {
-		if err := request.Ready(ctx); err != nil {
+	if request.BeforeSend != nil {
+		if err := request.BeforeSend(ctx); err != nil {
 			p.putBack(used)
 			return nil, &NotSent{Cause: err}
 		}
 	}
 	stop := context.AfterFunc(ctx, func() { used.SetDeadline(time.Unix(1, 0)) })
-	if request.Silence > 0 && used.kept {
+	if request.SilenceTimeout > 0 && used.kept {
 		began := time.Now()
-		watch := time.AfterFunc(request.Silence, func() { p.suspect(address, began) })
+		watch := time.AfterFunc(request.SilenceTimeout, func() { p.suspect(address, began) })
 		defer watch.Stop()
 	}
 	outgoing := request.http()
@@ -120,7 +120,7 @@
 		if !sent() {
 			return nil, &NotSent{Cause: err}
 		}
-		return nil, &Lost{Cause: err, BodyUnread: !writtenWhole(written)}
+		return nil, &ResponseLost{Cause: err, BodyUnread: !writtenWhole(written)}
 	}
 	p.answered(address)
 	answer.pool, answer.written, answer.stop = p, written, stop
@@ -198,21 +198,21 @@
 
 // read returns the answer that names the request. Surplus answers to earlier
 // requests are skipped.
-func (c *connection) read(request *Request, outgoing *http.Request, readHead ReadHead) (*Answer, error) {
+func (c *connection) read(request *Request, outgoing *http.Request, readHead ReadMetadata) (*Response, error) {
 	for surplus := 0; ; surplus++ {
 		response, err := c.readFinal(outgoing)
 		if err != nil {
 			return nil, err
 		}
 		head := readHead(response.StatusCode, response.Header)
-		if head.RequestID == request.ID || (head.NotExecuted && head.RequestID == "") {
+		if head.RequestID == request.ID || (head.NotRun && head.RequestID == "") {
 			whole := &wholeReader{from: response.Body}
-			return &Answer{
-				Status: response.StatusCode, Header: response.Header, Body: whole, NotExecuted: head.NotExecuted, Reported: head,
+			return &Response{
+				Status: response.StatusCode, Header: response.Header, Body: whole, NotRun: head.NotRun, Metadata: head,
 				used: c, response: response, whole: whole,
 			}, nil
 		}
-		foreign := &ForeignAnswer{Want: request.ID, Have: head.RequestID}
+		foreign := &MismatchedResponse{Want: request.ID, Have: head.RequestID}
 		if surplus >= maxSurplus || response.Close {
 			return nil, foreign
 		}
@@ -252,7 +252,7 @@
 
 // Close ends the exchange. The connection is kept if the request was written
 // and the answer read whole, and the worker keeps it too.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	undisturbed := a.stop()
 	if !undisturbed || !a.whole.done || a.response.Close || !writtenWhole(a.written) {
 		a.pool.discard(a.used)
--- a/internal/worker/pool.go
+++ b/internal/worker/pool.go
@@ -70,8 +70,8 @@
 // NewPool returns an empty pool.
 func NewPool(dialer *net.Dialer) *Pool { return &Pool{dialer: dialer, hosts: make(map[string]*host)} }
 
-// NewPoolWith returns an empty pool of connections that notice a silent worker.
-func NewPoolWith(options transport.Options) *Pool {
+// NewPoolWithOptions returns an empty pool of connections that notice a silent worker.
+func NewPoolWithOptions(options transport.Options) *Pool {
 	pool := NewPool(transport.NewDialer(options))
 	pool.userTimeout = options.UserTimeout
 	return pool
@@ -123,17 +123,17 @@
 	return nil, true
 }
 
-// Connected reports whether an idle connection to an address is open.
-func (p *Pool) Connected(address string) bool {
+// OnConnected reports whether an idle connection to an address is open.
+func (p *Pool) HasIdleConnection(address string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	at := p.hosts[address]
 	return at != nil && len(at.idle) > 0 && time.Now().Before(at.idle[len(at.idle)-1].usableUntil)
 }
 
-// Reaches reports whether a worker's machine answers a new connection: also one that refuses
+// IsReachable reports whether a worker's machine answers a new connection: also one that refuses
 // it is reached.
-func (p *Pool) Reaches(ctx context.Context, address string) bool {
+func (p *Pool) IsReachable(ctx context.Context, address string) bool {
 	dialed, err := p.dialer.DialContext(ctx, "tcp4", address)
 	if err == nil {
 		dialed.Close()
@@ -232,9 +232,9 @@
 	at.idle = append(at.idle, used)
 }
 
-// Sweep closes connections that have been idle for too long, and those to lives of workers that
+// CloseStale closes connections that have been idle for too long, and those to lives of workers that
 // are not listed.
-func (p *Pool) Sweep(listed func(life string) bool) {
+func (p *Pool) CloseStale(listed func(life string) bool) {
 	now := time.Now()
 	var closing []*connection
 	p.mutex.Lock()
--- a/internal/worker/pool_test.go
+++ b/internal/worker/pool_test.go
@@ -37,11 +37,11 @@
 
 const echoedHeader = "Echo-Id"
 
-func readHead(_ int, header http.Header) Head {
-	return Head{RequestID: header.Get(echoedHeader), NotExecuted: header.Get("Not-Run") != ""}
+func readHead(_ int, header http.Header) ResponseMetadata {
+	return ResponseMetadata{RequestID: header.Get(echoedHeader), NotRun: header.Get("Not-Run") != ""}
 }
 
-func send(pool *Pool, address, id string, body string) (*Answer, error) {
+func send(pool *Pool, address, id string, body string) (*Response, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	_ = cancel
 	request := &Request{ID: id, Method: http.MethodPost, Target: "/path?q=1", Host: "h", Header: http.Header{}, Body: []byte(body)}
@@ -63,7 +63,7 @@
 	return string(body), err
 }
 
-func TestAConnectionIsKeptAfterAWholeAnswer(t *testing.T) {
+func TestConnectionIsReusedAfterCompleteResponse(t *testing.T) {
 	var opened atomic.Int32
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		opened.Add(1)
@@ -88,7 +88,7 @@
 	require.Equal(t, int32(1), opened.Load())
 }
 
-func TestAConnectionWithSurplusBytesIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithStaleBytesIsNotReused(t *testing.T) {
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			body, err := readRequest(reader)
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestAnAnswerThatEndsEarlyIsNoWholeOne(t *testing.T) {
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		body, _ := readRequest(reader)
 		whole := answer(body, "a whole answer", "")
@@ -123,7 +123,7 @@
 	got.Close()
 }
 
-func TestAnAnswerBeforeALongBodyIsReadEndsTheConnection(t *testing.T) {
+func TestEarlyResponseToLongBodyClosesConnection(t *testing.T) {
 	var opened atomic.Int32
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		opened.Add(1)
@@ -137,7 +137,7 @@
 	for range 2 {
 		got, err := send(pool, address, "r", strings.Repeat("x", 8<<20))
 		require.NoError(t, err)
-		require.True(t, got.NotExecuted)
+		require.True(t, got.NotRun)
 		_, err = io.ReadAll(got.Body)
 		require.NoError(t, err)
 		got.Close()
@@ -145,7 +145,7 @@
 	require.Equal(t, int32(2), opened.Load(), "the rest of the body must not meet another request")
 }
 
-func TestARefusedConnectionWasNotSent(t *testing.T) {
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().String()
@@ -155,7 +155,7 @@
 	require.ErrorAs(t, err, &notSent)
 }
 
-func TestAConnectionThatDiesAfterTheRequestIsLostAndNotRepeated(t *testing.T) {
+func TestClosedConnectionIsLostAndNotRetried(t *testing.T) {
 	var requests atomic.Int32
 	address := serve(t, func(_ net.Conn, reader *bufio.Reader) {
 		if _, err := readRequest(reader); err == nil {
@@ -163,12 +163,12 @@
 		}
 	})
 	_, err := send(newPool(), address, "r", "r")
-	var lost *Lost
+	var lost *ResponseLost
 	require.ErrorAs(t, err, &lost)
 	require.Equal(t, int32(1), requests.Load())
 }
 
-func TestNoMoreConnectionsThanAllowed(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	address := serve(t, func(_ net.Conn, reader *bufio.Reader) { _, _ = reader.ReadByte(); time.Sleep(time.Second) })
 	pool := newPool()
 	first, err := pool.get(context.Background(), address, "", 1)
@@ -181,7 +181,7 @@
 	require.NoError(t, err)
 }
 
-func TestAnIdleConnectionIsDroppedBeforeTheWorkerCloses(t *testing.T) {
+func TestIdleLifetimeEndsBeforeKeepAliveTimeout(t *testing.T) {
 	require.Equal(t, 5*time.Second-idleMargin, keepFor(http.Header{"Keep-Alive": {"max=9, timeout=5"}}))
 	require.Equal(t, idleLimit, keepFor(http.Header{}))
 	require.Zero(t, keepFor(http.Header{"Keep-Alive": {"timeout=0"}}))
@@ -208,10 +208,10 @@
 	}
 }
 
-// TestKeptConnectionsOfAWorkerThatIsGoneAreClosed holds that after two requests
+// TestConsecutiveLossesCloseIdleConnections holds that after two requests
 // without an answer a new connection is opened, which shows whether the worker is
 // there, instead of trying one dead connection after another.
-func TestKeptConnectionsOfAWorkerThatIsGoneAreClosed(t *testing.T) {
+func TestConsecutiveLossesCloseIdleConnections(t *testing.T) {
 	const connections = 5
 	var opened atomic.Int32
 	var dead atomic.Bool
@@ -252,7 +252,7 @@
 	dead.Store(true)
 	for range maxLostInRow {
 		_, err := send(pool, address, "lost", "lost")
-		var lost *Lost
+		var lost *ResponseLost
 		require.ErrorAs(t, err, &lost)
 	}
 	require.EqualValues(t, connections, opened.Load())
@@ -261,9 +261,9 @@
 	require.EqualValues(t, connections+1, opened.Load(), "the idle ones are not tried any more")
 }
 
-// TestNothingIsSentWhereTheCallerIsNotReady holds that the connection is kept, and that the
+// TestNothingIsSentIfBeforeSendFails holds that the connection is kept, and that the
 // caller is asked again for each request, on a kept connection too.
-func TestNothingIsSentWhereTheCallerIsNotReady(t *testing.T) {
+func TestNothingIsSentIfBeforeSendFails(t *testing.T) {
 	var opened, got atomic.Int32
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		opened.Add(1)
@@ -281,7 +281,7 @@
 	try := func(failed error) error {
 		request := &Request{
 			ID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte("r"),
-			Ready: func(context.Context) error { asked++; return failed },
+			BeforeSend: func(context.Context) error { asked++; return failed },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
@@ -304,7 +304,7 @@
 	require.Equal(t, 4, asked)
 }
 
-func TestAConnectionToAFormerLifeIsNotUsed(t *testing.T) {
+func TestConnectionToPreviousIncarnationIsNotUsed(t *testing.T) {
 	address := serve(t, func(_ net.Conn, reader *bufio.Reader) { _, _ = reader.ReadByte() })
 	pool := newPool()
 	former, err := pool.get(t.Context(), address, "a@1", 1)
--- a/internal/worker/silence_test.go
+++ b/internal/worker/silence_test.go
@@ -22,10 +22,10 @@
 )
 
 // sendWatched sends a request whose silence is watched.
-func sendWatched(t *testing.T, pool *Pool, address, id string) (*Answer, error) {
+func sendWatched(t *testing.T, pool *Pool, address, id string) (*Response, error) {
 	ctx, cancel := context.WithTimeout(t.Context(), silentWait)
 	t.Cleanup(cancel)
-	request := &Request{ID: id, Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte(id), Silence: silence}
+	request := &Request{ID: id, Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte(id), SilenceTimeout: silence}
 	return pool.Send(ctx, address, 0, request, readHead)
 }
 
@@ -43,7 +43,7 @@
 	proxy, err := transporttest.NewProxy(address)
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
-	var answers []*Answer
+	var answers []*Response
 	for range count {
 		answered, err := sendWatched(t, pool, proxy.Address(), "warm")
 		require.NoError(t, err)
@@ -58,23 +58,23 @@
 	return proxy
 }
 
-// TestConnectionsThatFallSilentCostOneRequest silences all kept connections to a worker.
+// TestSilentConnectionsLoseOnlyOneRequest silences all kept connections to a worker.
 // The first request may have run and is lost; the next one goes over a new connection.
-func TestConnectionsThatFallSilentCostOneRequest(t *testing.T) {
+func TestSilentConnectionsLoseOnlyOneRequest(t *testing.T) {
 	pool := newPool()
 	proxy := keepConnections(t, pool, 4)
 	proxy.Silence()
 	_, err := sendWatched(t, pool, proxy.Address(), "silent")
-	var lost *Lost
+	var lost *ResponseLost
 	require.ErrorAs(t, err, &lost, "no promise that it has not run")
 	answered, err := sendWatched(t, pool, proxy.Address(), "next")
 	require.NoError(t, err, "another silent connection was used")
 	answered.Close()
 }
 
-// TestAnAnswerOnAnotherConnectionSpeaksForAWorker: a request that takes long says nothing
+// TestRecentResponseKeepsIdleConnections: a request that takes long says nothing
 // of the worker's other connections where one of them has answered meanwhile.
-func TestAnAnswerOnAnotherConnectionSpeaksForAWorker(t *testing.T) {
+func TestRecentResponseKeepsIdleConnections(t *testing.T) {
 	pool := newPool()
 	proxy := keepConnections(t, pool, 3)
 	sent := time.Now()
@@ -84,7 +84,7 @@
 	require.NoError(t, err)
 	answered.Close()
 	pool.suspect(proxy.Address(), sent)
-	require.True(t, pool.Connected(proxy.Address()))
+	require.True(t, pool.HasIdleConnection(proxy.Address()))
 	pool.suspect(proxy.Address(), time.Now())
-	require.False(t, pool.Connected(proxy.Address()))
+	require.False(t, pool.HasIdleConnection(proxy.Address()))
 }
--- a/internal/zonehealth/detector.go
+++ b/internal/zonehealth/detector.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// QuietFor is for how long nobody in a zone has answered before the zone is probed. A
+	// ProbeAfter is for how long nobody in a zone has answered before the zone is probed. A
 	// gateway with a few requests a second hears every zone more often than that.
-	QuietFor = 300 * time.Millisecond
+	ProbeAfter = 300 * time.Millisecond
 	// ProbeTimeout is how long a probe waits: several times the way between regions that are
 	// far apart, and the pause of a process whose processor is taken away.
 	ProbeTimeout = 200 * time.Millisecond
@@ -53,9 +53,9 @@
 // NewDetector returns the detector of a process in a zone.
 func NewDetector(own string) *Detector { return &Detector{own: own, zones: make(map[string]*zone)} }
 
-// Keep forgets the zones that are not among those given, and begins to know the others, as
+// SetZones forgets the zones that are not among those given, and begins to know the others, as
 // ones that have answered just now.
-func (s *Detector) Keep(now time.Time, names []string) {
+func (s *Detector) SetZones(now time.Time, names []string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name := range s.zones {
@@ -65,14 +65,14 @@
 	}
 	for _, name := range names {
 		if s.zones[name] == nil {
-			s.zones[name] = &zone{answered: now, quiet: QuietFor}
+			s.zones[name] = &zone{answered: now, quiet: ProbeAfter}
 		}
 	}
 }
 
-// Answered notes that someone in a zone answered at a moment. It reports whether the zone
+// RecordAnswer notes that someone in a zone answered at a moment. It reports whether the zone
 // was taken to be out of reach.
-func (s *Detector) Answered(name string, at time.Time) (returned bool) {
+func (s *Detector) RecordAnswer(name string, at time.Time) (returned bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known := s.zones[name]
@@ -89,10 +89,10 @@
 	return returned
 }
 
-// Refuted notes that a probe of a zone whose replicas do not answer was answered by a worker,
+// RecordWorkerAnswer notes that a probe of a zone whose replicas do not answer was answered by a worker,
 // and reports what Answered does. Probes that bring only this come less and less often.
-func (s *Detector) Refuted(name string, at time.Time) (returned bool) {
-	returned = s.Answered(name, at)
+func (s *Detector) RecordWorkerAnswer(name string, at time.Time) (returned bool) {
+	returned = s.RecordAnswer(name, at)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if known := s.zones[name]; known != nil {
@@ -101,25 +101,25 @@
 	return returned
 }
 
-// ReplicaAnswered notes that a replica of a zone answered at a moment, and reports what
-// Answered does.
-func (s *Detector) ReplicaAnswered(name string, at time.Time) (returned bool) {
+// RecordReplicaAnswer notes that a replica of a zone answered at a moment, and reports what
+// RecordAnswer does.
+func (s *Detector) RecordReplicaAnswer(name string, at time.Time) (returned bool) {
 	s.mutex.Lock()
 	if known := s.zones[name]; known != nil && at.After(known.replica) {
-		known.replica, known.quiet = at, QuietFor
+		known.replica, known.quiet = at, ProbeAfter
 	}
 	s.mutex.Unlock()
-	return s.Answered(name, at)
+	return s.RecordAnswer(name, at)
 }
 
-// Unanswered notes a probe that nobody in a zone has answered, and when it began. It reports
+// RecordMissedProbe notes a probe that nobody in a zone has answered, and when it began. It reports
 // whether the zone is taken to be out of reach from now on: that needs an answer from another
 // zone during the silence, for else it may be this process that nothing reaches.
-func (s *Detector) Unanswered(name string, began time.Time) (lost bool) {
+func (s *Detector) RecordMissedProbe(name string, began time.Time) (lost bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known := s.zones[name]
-	if known == nil || known.answered.After(began) || !s.answeredElsewhere(name, began.Add(-QuietFor)) {
+	if known == nil || known.answered.After(began) || !s.answeredElsewhere(name, began.Add(-ProbeAfter)) {
 		// Where no other zone was heard either, the probe says more of this process.
 		return false
 	}
@@ -144,8 +144,8 @@
 	return false
 }
 
-// Due returns the zones that are to be probed.
-func (s *Detector) Due(now time.Time) (due []string) {
+// ZonesToProbe returns the zones that are to be probed.
+func (s *Detector) ZonesToProbe(now time.Time) (due []string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for name, known := range s.zones {
@@ -157,16 +157,16 @@
 	return due
 }
 
-// Unreached reports whether a zone is taken to be out of reach.
-func (s *Detector) Unreached(name string) bool {
+// IsUnreachable reports whether a zone is taken to be out of reach.
+func (s *Detector) IsUnreachable(name string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known := s.zones[name]
 	return known != nil && known.unreached
 }
 
-// UnreachedZones returns how many zones are taken to be out of reach.
-func (s *Detector) UnreachedZones() (count int) {
+// UnreachableCount returns how many zones are taken to be out of reach.
+func (s *Detector) UnreachableCount() (count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, known := range s.zones {
@@ -177,16 +177,16 @@
 	return count
 }
 
-// Suspected reports whether a probe of a zone has found nobody since its last answer.
-func (s *Detector) Suspected(name string) bool {
+// HasMissedProbe reports whether a probe of a zone has found nobody since its last answer.
+func (s *Detector) HasMissedProbe(name string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	known := s.zones[name]
 	return known != nil && known.misses > 0
 }
 
-// CutOff reports whether no other zone is reached while the own one is, and since when.
-func (s *Detector) CutOff() (since time.Time, cutOff bool) {
+// CutOffSince reports whether no other zone is reached while the own one is, and since when.
+func (s *Detector) CutOffSince() (since time.Time, cutOff bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if own := s.zones[s.own]; own == nil || own.unreached || len(s.zones) < 2 {
--- a/internal/zonehealth/detector_test.go
+++ b/internal/zonehealth/detector_test.go
@@ -16,119 +16,119 @@
 
 func threeZones() *Detector {
 	detector := NewDetector("a")
-	detector.Keep(start, []string{"a", "b", "c"})
+	detector.SetZones(start, []string{"a", "b", "c"})
 	return detector
 }
 
-func TestAZoneThatNobodyAnswersFromIsOutOfReach(t *testing.T) {
+func TestZoneBecomesUnreachableAfterMissedProbes(t *testing.T) {
 	detector := threeZones()
-	require.Empty(t, detector.Due(after(299)))
-	detector.Answered("a", after(350))
-	detector.Answered("c", after(350))
-	require.Equal(t, []string{"b"}, detector.Due(after(400)))
-	require.False(t, detector.Unanswered("b", after(300)), "one probe says little")
-	require.True(t, detector.Suspected("b"))
-	require.False(t, detector.Unreached("b"))
-	require.True(t, detector.Unanswered("b", after(500)))
-	require.True(t, detector.Unreached("b"))
-	require.False(t, detector.Unanswered("b", after(700)), "it is told once")
-	_, cutOff := detector.CutOff()
+	require.Empty(t, detector.ZonesToProbe(after(299)))
+	detector.RecordAnswer("a", after(350))
+	detector.RecordAnswer("c", after(350))
+	require.Equal(t, []string{"b"}, detector.ZonesToProbe(after(400)))
+	require.False(t, detector.RecordMissedProbe("b", after(300)), "one probe says little")
+	require.True(t, detector.HasMissedProbe("b"))
+	require.False(t, detector.IsUnreachable("b"))
+	require.True(t, detector.RecordMissedProbe("b", after(500)))
+	require.True(t, detector.IsUnreachable("b"))
+	require.False(t, detector.RecordMissedProbe("b", after(700)), "it is told once")
+	_, cutOff := detector.CutOffSince()
 	require.False(t, cutOff, "one other zone answers")
-	require.True(t, detector.Answered("b", after(900)))
-	require.False(t, detector.Unreached("b"))
-	require.False(t, detector.Suspected("b"))
+	require.True(t, detector.RecordAnswer("b", after(900)))
+	require.False(t, detector.IsUnreachable("b"))
+	require.False(t, detector.HasMissedProbe("b"))
 }
 
-func TestAProcessThatNothingReachesBlamesNoZone(t *testing.T) {
+func TestIsolatedProcessMarksNoZoneUnreachable(t *testing.T) {
 	detector := threeZones()
 	for probe := range 5 {
 		for _, zone := range []string{"a", "b", "c"} {
-			require.False(t, detector.Unanswered(zone, after(300+200*probe)))
+			require.False(t, detector.RecordMissedProbe(zone, after(300+200*probe)))
 		}
 	}
-	_, cutOff := detector.CutOff()
+	_, cutOff := detector.CutOffSince()
 	require.False(t, cutOff)
 	// Its links are back: probes from before say nothing of the zones that answer later.
-	detector.Answered("a", after(1200))
+	detector.RecordAnswer("a", after(1200))
 	for _, zone := range []string{"b", "c"} {
-		require.False(t, detector.Unanswered(zone, after(1100)))
-		require.False(t, detector.Unreached(zone))
+		require.False(t, detector.RecordMissedProbe(zone, after(1100)))
+		require.False(t, detector.IsUnreachable(zone))
 	}
-	_, cutOff = detector.CutOff()
+	_, cutOff = detector.CutOffSince()
 	require.False(t, cutOff)
 }
 
-func TestAZoneWithoutTheOthersIsCutOff(t *testing.T) {
+func TestCutOffWhenAllOtherZonesAreUnreachable(t *testing.T) {
 	detector := threeZones()
-	detector.Answered("a", after(290))
-	detector.Unanswered("b", after(300))
-	detector.Unanswered("c", after(320))
-	detector.Answered("a", after(400))
-	detector.Unanswered("b", after(500))
-	_, cutOff := detector.CutOff()
+	detector.RecordAnswer("a", after(290))
+	detector.RecordMissedProbe("b", after(300))
+	detector.RecordMissedProbe("c", after(320))
+	detector.RecordAnswer("a", after(400))
+	detector.RecordMissedProbe("b", after(500))
+	_, cutOff := detector.CutOffSince()
 	require.False(t, cutOff)
-	detector.Unanswered("c", after(520))
-	since, cutOff := detector.CutOff()
+	detector.RecordMissedProbe("c", after(520))
+	since, cutOff := detector.CutOffSince()
 	require.True(t, cutOff)
 	require.Equal(t, after(320), since)
-	detector.Answered("c", after(800))
-	_, cutOff = detector.CutOff()
+	detector.RecordAnswer("c", after(800))
+	_, cutOff = detector.CutOffSince()
 	require.False(t, cutOff)
 }
 
-func TestAnAnswerFromBeforeTheSilenceEndsNothing(t *testing.T) {
+func TestAnswerBeforeSilenceIsIgnored(t *testing.T) {
 	detector := threeZones()
-	detector.Answered("a", after(290))
-	detector.Unanswered("b", after(300))
-	detector.Answered("a", after(400))
-	detector.Unanswered("b", after(500))
-	require.False(t, detector.Answered("b", after(250)))
-	require.True(t, detector.Unreached("b"))
+	detector.RecordAnswer("a", after(290))
+	detector.RecordMissedProbe("b", after(300))
+	detector.RecordAnswer("a", after(400))
+	detector.RecordMissedProbe("b", after(500))
+	require.False(t, detector.RecordAnswer("b", after(250)))
+	require.True(t, detector.IsUnreachable("b"))
 }
 
-func TestAProbeFromBeforeAnAnswerSaysNothing(t *testing.T) {
+func TestProbeBeforeLastAnswerIsIgnored(t *testing.T) {
 	detector := threeZones()
-	detector.Answered("a", after(700))
-	detector.Answered("b", after(600))
-	detector.Unanswered("b", after(300))
-	detector.Unanswered("b", after(500))
-	require.False(t, detector.Unreached("b"))
+	detector.RecordAnswer("a", after(700))
+	detector.RecordAnswer("b", after(600))
+	detector.RecordMissedProbe("b", after(300))
+	detector.RecordMissedProbe("b", after(500))
+	require.False(t, detector.IsUnreachable("b"))
 }
 
-func TestAZoneWithoutReplicasIsProbedLessAndLessOften(t *testing.T) {
+func TestProbeIntervalGrowsWithoutReplicaAnswers(t *testing.T) {
 	detector := threeZones()
 	now, probes := 0, 0
 	for ; now < 20_000; now += 50 {
-		detector.ReplicaAnswered("a", after(now))
-		detector.ReplicaAnswered("c", after(now))
-		if len(detector.Due(after(now))) > 0 {
+		detector.RecordReplicaAnswer("a", after(now))
+		detector.RecordReplicaAnswer("c", after(now))
+		if len(detector.ZonesToProbe(after(now))) > 0 {
 			probes++
-			detector.Refuted("b", after(now))
+			detector.RecordWorkerAnswer("b", after(now))
 		}
 	}
 	require.Less(t, probes, 15)
-	detector.ReplicaAnswered("b", after(now))
-	require.Equal(t, []string{"b"}, detector.Due(after(now + 300))[1:2])
+	detector.RecordReplicaAnswer("b", after(now))
+	require.Equal(t, []string{"b"}, detector.ZonesToProbe(after(now + 300))[1:2])
 }
 
-func TestASingleZoneIsNeverCutOff(t *testing.T) {
+func TestSingleZoneIsNeverCutOff(t *testing.T) {
 	detector := NewDetector("a")
-	detector.Keep(start, []string{"a"})
-	_, cutOff := detector.CutOff()
+	detector.SetZones(start, []string{"a"})
+	_, cutOff := detector.CutOffSince()
 	require.False(t, cutOff)
 }
 
-func TestZonesThatAreGoneAreForgotten(t *testing.T) {
+func TestRemovedZonesAreDropped(t *testing.T) {
 	detector := threeZones()
-	detector.Keep(after(10), []string{"a", "c"})
-	require.Equal(t, []string{"a", "c"}, detector.Due(after(400)))
-	require.False(t, detector.Unanswered("b", after(400)))
+	detector.SetZones(after(10), []string{"a", "c"})
+	require.Equal(t, []string{"a", "c"}, detector.ZonesToProbe(after(400)))
+	require.False(t, detector.RecordMissedProbe("b", after(400)))
 }
 
-// TestNoZoneIsOutOfReachThatAnswered holds for any order of answers and probes: a zone that
+// TestUnreachableZoneHasNotAnswered holds for any order of answers and probes: a zone that
 // is out of reach has answered no probe that began since the first of two unanswered ones,
 // and another zone has answered in that time.
-func TestNoZoneIsOutOfReachThatAnswered(t *testing.T) {
+func TestUnreachableZoneHasNotAnswered(t *testing.T) {
 	zones := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		detector := threeZones()
@@ -139,19 +139,19 @@
 			now += rapid.IntRange(1, 200).Draw(t, "gap")
 			zone := rapid.SampledFrom(zones).Draw(t, "zone")
 			if rapid.Bool().Draw(t, "answer") {
-				detector.Answered(zone, after(now))
+				detector.RecordAnswer(zone, after(now))
 				answers[zone] = append(answers[zone], now)
 				misses[zone] = nil
 				continue
 			}
 			began := now - rapid.IntRange(0, 100).Draw(t, "took")
-			detector.Unanswered(zone, after(began))
+			detector.RecordMissedProbe(zone, after(began))
 			if last := answers[zone][len(answers[zone])-1]; last <= began {
 				misses[zone] = append(misses[zone], began)
 			}
 		}
 		for _, zone := range zones {
-			if !detector.Unreached(zone) {
+			if !detector.IsUnreachable(zone) {
 				continue
 			}
 			require.GreaterOrEqual(t, len(misses[zone]), 2)
