--- a/internal/gateway/slotqueue.go
+++ b/internal/gateway/slotqueue.go
@@ -11,90 +11,90 @@
 )
 
 const (
-	// firstSlotPause and lastSlotPause bound the pauses, which double, after which the
-	// request that is first asks workers that were full again: places that other gateways'
-	// requests held become free unseen.
-	firstSlotPause = 10 * time.Millisecond
-	lastSlotPause  = 80 * time.Millisecond
-	// maxAwaitingSlot bounds the requests that wait for one service: each holds its body
-	// in memory, 64 KB at the users' largest.
-	maxAwaitingSlot = 128
+	// initialSlotBackoff and maxSlotBackoff bound the exponential backoff after which the first
+	// request in the queue tries full workers again. This gateway does not see when requests of
+	// other gateways free a slot.
+	initialSlotBackoff = 10 * time.Millisecond
+	maxSlotBackoff     = 80 * time.Millisecond
+	// maxSlotWaiters bounds the requests that wait for one service. Each holds its body in
+	// memory, up to 64 KB with the largest bodies in use.
+	maxSlotWaiters = 128
 )
 
-// slotQueues are the requests of this gateway that wait for full services, by service.
-type slotQueues struct{ services sync.Map }
+// slotQueues holds the requests of this gateway that wait for full services, by service.
+type slotQueues struct{ byService sync.Map }
 
-// slotQueue is the requests that wait for one service. The first one asks workers; the
-// others wait for their turn.
+// slotQueue holds the requests that wait for one service. Only the first one tries workers; the
+// others wait.
 type slotQueue struct {
 	mutex   sync.Mutex
 	waiting *backlog.Backlog
-	// wake has a channel for each request that waits, told when it may be its turn.
+	// wake has a channel for each waiting request, which is signaled when the request may be
+	// first.
 	wake map[*backlog.Entry]chan struct{}
 }
 
-// slotTicket is one request's place among those that wait.
+// slotTicket is the entry of one request in a slotQueue.
 type slotTicket struct {
 	queue *slotQueue
 	entry *backlog.Entry
 	wake  chan struct{}
-	// pauses counts how often the request has asked as the first one.
-	pauses int
-	// asked is when the request last went to ask workers; it is out of the others' way
-	// from then until it waits again.
-	asked time.Time
-	out   bool
+	// backoffs counts the consecutive tries that were not caused by a wake-up.
+	backoffs int
+	// triedAt is when the request last went to try workers. trying is set from then until it
+	// waits again, and takes it out of the queue so that the next one can be first.
+	triedAt time.Time
+	trying  bool
 }
 
 func newSlotQueues() *slotQueues { return &slotQueues{} }
 
 func newSlotQueue() *slotQueue {
-	return &slotQueue{waiting: backlog.New(maxAwaitingSlot), wake: make(map[*backlog.Entry]chan struct{})}
+	return &slotQueue{waiting: backlog.New(maxSlotWaiters), wake: make(map[*backlog.Entry]chan struct{})}
 }
 
-// of returns a service's queue.
-func (q *slotQueues) of(service string) *slotQueue {
-	if known, found := q.services.Load(service); found {
-		return known.(*slotQueue)
+// getOrCreate returns the queue of a service.
+func (q *slotQueues) getOrCreate(service string) *slotQueue {
+	if queue, found := q.byService.Load(service); found {
+		return queue.(*slotQueue)
 	}
-	known, _ := q.services.LoadOrStore(service, newSlotQueue())
-	return known.(*slotQueue)
+	queue, _ := q.byService.LoadOrStore(service, newSlotQueue())
+	return queue.(*slotQueue)
 }
 
-// waiting returns how many requests wait for all services.
-func (q *slotQueues) waiting() (count int) {
-	for _, each := range q.services.Range {
+// waitingCount returns the number of waiting requests of all services.
+func (q *slotQueues) waitingCount() (count int) {
+	for _, each := range q.byService.Range {
 		count += each.(*slotQueue).len()
 	}
 	return count
 }
 
-// forget drops the queues of services that are not declared any more and that nothing
-// waits for.
-func (q *slotQueues) forget(declared func(service string) bool) {
-	for service, each := range q.services.Range {
+// removeUndeclared removes the empty queues of services that are no longer declared.
+func (q *slotQueues) removeUndeclared(declared func(service string) bool) {
+	for service, each := range q.byService.Range {
 		if !declared(service.(string)) && each.(*slotQueue).len() == 0 {
-			q.services.Delete(service)
+			q.byService.Delete(service)
 		}
 	}
 }
 
-// freed tells the request that is first that a place may be free.
-func (q *slotQueues) freed(service string) {
-	queue := q.of(service)
+// slotFreed wakes the first request because a slot may be free.
+func (q *slotQueues) slotFreed(service string) {
+	queue := q.getOrCreate(service)
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
 	queue.wakeFirst()
 }
 
-// len returns how many requests wait.
+// len returns the number of waiting requests.
 func (q *slotQueue) len() int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.waiting.Len()
 }
 
-// wakeFirst tells the first request that it may ask. The mutex is held.
+// wakeFirst wakes the first request. The mutex must be held.
 func (q *slotQueue) wakeFirst() {
 	first := q.waiting.First()
 	if first == nil {
@@ -106,151 +106,150 @@
 	}
 }
 
-// join adds a request; nil means that it would wait in vain.
-func (q *slotQueue) join(rank int, latest time.Time) *slotTicket {
+// enqueue adds a request. It returns nil if the request is not expected to get a slot in time.
+func (q *slotQueue) enqueue(priorityRank int, latest time.Time) *slotTicket {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	entry := q.waiting.Enqueue(time.Now(), rank, latest)
+	entry := q.waiting.Enqueue(time.Now(), priorityRank, latest)
 	if entry == nil {
 		return nil
 	}
-	place := &slotTicket{queue: q, entry: entry, wake: make(chan struct{}, 1)}
-	q.wake[entry] = place.wake
-	return place
+	ticket := &slotTicket{queue: q, entry: entry, wake: make(chan struct{}, 1)}
+	q.wake[entry] = ticket.wake
+	return ticket
 }
 
-// moreUrgentThan reports whether a request of a more urgent kind waits.
-func (q *slotQueue) moreUrgentThan(rank int) bool {
+// hasHigherPriority reports whether a more urgent request is waiting.
+func (q *slotQueue) hasHigherPriority(priorityRank int) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.waiting.HasHigherPriority(rank)
+	return q.waiting.HasHigherPriority(priorityRank)
 }
 
-// expected returns after what time a request of a kind is likely to get a place.
-func (q *slotQueue) expected(rank int) time.Duration {
+// expectedWait returns the expected wait for a slot of a request of the given priority rank.
+func (q *slotQueue) expectedWait(priorityRank int) time.Duration {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.waiting.ExpectedWait(time.Now(), rank)
+	return q.waiting.ExpectedWait(time.Now(), priorityRank)
 }
 
-// await waits until it is this request's turn to ask workers, and lets the next one be
-// first then: a worker that takes a request may answer it much later. It returns false
-// where waiting is in vain, or ctx ends.
-func (p *slotTicket) await(ctx context.Context) bool {
-	p.rejoin()
-	pause := min(lastSlotPause, firstSlotPause<<min(p.pauses, 8))
-	timer := time.NewTimer(pause/2 + rand.N(pause))
+// awaitFront waits until this request is first and may try workers, and removes it from the
+// queue so that the next one becomes first: a worker that accepts a request may respond much
+// later. It returns false if the wait is hopeless or ctx ends.
+func (t *slotTicket) awaitFront(ctx context.Context) bool {
+	t.requeue()
+	backoff := min(maxSlotBackoff, initialSlotBackoff<<min(t.backoffs, 8))
+	timer := time.NewTimer(backoff/2 + rand.N(backoff))
 	defer timer.Stop()
 	for {
 		woken := false
 		select {
 		case <-ctx.Done():
 			return false
-		case <-p.wake:
+		case <-t.wake:
 			woken = true
 		case <-timer.C:
-			timer.Reset(lastSlotPause)
+			timer.Reset(maxSlotBackoff)
 		}
-		turn, inVain := p.takeTurn()
-		if inVain {
+		dequeued, hopeless := t.tryDequeue()
+		if hopeless {
 			return false
 		}
-		if turn {
-			p.pauses++
+		if dequeued {
+			t.backoffs++
 			if woken {
-				p.pauses = 0
+				t.backoffs = 0
 			}
 			return true
 		}
 	}
 }
 
-// rejoin puts a request that asked and was turned away back where it was.
-func (p *slotTicket) rejoin() {
-	p.queue.mutex.Lock()
-	defer p.queue.mutex.Unlock()
-	if p.out {
-		p.queue.waiting.Requeue(p.entry)
-		p.out = false
+// requeue puts a request that was rejected by workers back at its position in the queue.
+func (t *slotTicket) requeue() {
+	t.queue.mutex.Lock()
+	defer t.queue.mutex.Unlock()
+	if t.trying {
+		t.queue.waiting.Requeue(t.entry)
+		t.trying = false
 	}
 }
 
-// takeTurn reports whether it is the request's turn, and then takes it out of the others'
-// way, and whether it waits in vain.
-func (p *slotTicket) takeTurn() (turn, inVain bool) {
-	p.queue.mutex.Lock()
-	defer p.queue.mutex.Unlock()
+// tryDequeue removes the request from the queue if it is first, so that it may try workers. It
+// also reports whether its wait is hopeless.
+func (t *slotTicket) tryDequeue() (dequeued, hopeless bool) {
+	t.queue.mutex.Lock()
+	defer t.queue.mutex.Unlock()
 	now := time.Now()
-	if p.queue.waiting.ShouldReject(now, p.entry) {
+	if t.queue.waiting.ShouldReject(now, t.entry) {
 		return false, true
 	}
-	if p.queue.waiting.First() != p.entry {
+	if t.queue.waiting.First() != t.entry {
 		return false, false
 	}
-	p.queue.waiting.Remove(p.entry)
-	p.out, p.asked = true, now
+	t.queue.waiting.Remove(t.entry)
+	t.trying, t.triedAt = true, now
 	return true, false
 }
 
-// end takes the request out. Where it got a place there may be another: the next one asks
-// at once.
-func (p *slotTicket) end(admitted bool) {
-	p.queue.mutex.Lock()
-	defer p.queue.mutex.Unlock()
-	delete(p.queue.wake, p.entry)
+// remove ends the wait of the request. If the request was admitted another slot may be free, so
+// the next request is woken at once.
+func (t *slotTicket) remove(admitted bool) {
+	t.queue.mutex.Lock()
+	defer t.queue.mutex.Unlock()
+	delete(t.queue.wake, t.entry)
 	if !admitted {
-		p.queue.waiting.Remove(p.entry)
+		t.queue.waiting.Remove(t.entry)
 		return
 	}
-	p.queue.waiting.Admit(p.asked, p.entry)
-	p.queue.wakeFirst()
+	t.queue.waiting.Admit(t.triedAt, t.entry)
+	t.queue.wakeFirst()
 }
 
-// letMoreUrgentGoFirst waits while requests of a more urgent kind wait for the service.
-func (r *request) letMoreUrgentGoFirst(ctx context.Context) error {
-	if r.gateway.disabled(mechanism.RequestQueueing) || !r.gateway.slotQueues.of(r.service.Name).moreUrgentThan(r.urgency) {
+// yieldToHigherPriority waits while more urgent requests wait for the service.
+func (r *request) yieldToHigherPriority(ctx context.Context) error {
+	if r.gateway.disabled(mechanism.RequestQueueing) || !r.gateway.slotQueues.getOrCreate(r.service.Name).hasHigherPriority(r.priorityRank) {
 		return nil
 	}
 	return r.awaitSlot(ctx)
 }
 
-// awaitSlot waits for a place at workers that turned the request away because they are
-// full, behind requests of more urgent kinds and those with less time left, and lets it
-// go to them again. A refusal would cost the program one of few tries, and a call of a
-// tool that is refused twice ends its program. It fails once the request is not likely
-// to get a place in its time.
+// awaitSlot waits for a slot at workers that rejected the request as full, behind more urgent
+// requests and those with less time left, and then allows it to try them again. A refusal would
+// cost the program one of few retries, and a tool call that is refused twice ends its program.
+// awaitSlot fails as soon as the request is not expected to get a slot in time.
 func (r *request) awaitSlot(ctx context.Context) error {
-	defer r.hold(heldForSlot)()
-	queue := r.gateway.slotQueues.of(r.service.Name)
-	if r.place == nil {
-		r.place = queue.join(r.urgency, r.deadline.Add(-r.fastest().Value()))
+	defer r.startWait(waitForSlot)()
+	queue := r.gateway.slotQueues.getOrCreate(r.service.Name)
+	if r.slotTicket == nil {
+		r.slotTicket = queue.enqueue(r.priorityRank, r.deadline.Add(-r.fastestResponse().Value()))
 	}
-	if r.place == nil || !r.place.await(ctx) {
+	if r.slotTicket == nil || !r.slotTicket.awaitFront(ctx) {
 		if ctx.Err() != nil {
-			return r.outOfTime(ctx)
+			return r.contextError(ctx)
 		}
-		comeBack := min(lastSlotComeBack, queue.expected(r.urgency))
-		if r.coldRefused > 0 && r.turnedAway == 0 {
-			return r.noWorker(comeBack)
+		retryAfter := min(maxSlotRetryAfter, queue.expectedWait(r.priorityRank))
+		if r.coldSkipped > 0 && r.rejections == 0 {
+			return r.noWorkerError(retryAfter)
 		}
-		return &ServiceFull{Service: r.service.Name, Rejections: r.turnedAway, RetryAfter: comeBack}
+		return &ServiceFull{Service: r.service.Name, Rejections: r.rejections, RetryAfter: retryAfter}
 	}
-	for _, id := range r.full {
+	for _, id := range r.fullWorkers {
 		delete(r.tried, id)
 	}
-	r.full = nil
+	r.fullWorkers = nil
 	return nil
 }
 
-// leaveSlotQueue ends the request's wait for a slot, if it waited. Where it may go to no worker at
-// all, the next one finds that out at once too.
+// leaveSlotQueue ends the request's wait for a slot, if there was one. If no worker is eligible
+// because of zone drains, it wakes the next request so that it is refused at once too.
 func (r *request) leaveSlotQueue(admitted bool) {
-	if r.place == nil {
+	if r.slotTicket == nil {
 		return
 	}
-	r.place.end(admitted)
-	r.place = nil
-	if !admitted && r.noneEligible() != nil {
-		r.gateway.slotQueues.freed(r.service.Name)
+	r.slotTicket.remove(admitted)
+	r.slotTicket = nil
+	if !admitted && r.checkDrainedZones() != nil {
+		r.gateway.slotQueues.slotFreed(r.service.Name)
 	}
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,53 +14,53 @@
 	"github.com/barleyshelf/barleyshelf/internal/worker"
 )
 
-// minPaceEvents is how many events tell a worker's pace.
-const minPaceEvents = 3
+// minEventsForGap is the number of events needed to measure the time between a worker's events.
+const minEventsForGap = 3
 
-// stream is the answer of a streaming request as it comes.
+// stream is the state of a streaming response.
 type stream struct {
 	request *request
-	// begun is set once the client has the head.
-	begun bool
-	// lastEvent is the id of the last event that was passed on.
-	lastEvent string
-	events    int64
-	// output is what a kept turn said: the data of each event, each followed by
-	// a line feed.
+	// headersSent is set once the response headers have been sent to the client.
+	headersSent bool
+	// lastEventID is the id of the last event forwarded.
+	lastEventID string
+	eventCount  int64
+	// output is the text of a turn to be stored: the data of each event, followed by a line
+	// feed.
 	output []byte
 }
 
-// serveStream serves a request that is answered by a series of events.
+// serveStream serves a request whose response is a stream of events.
 func (r *request) serveStream(ctx context.Context) {
 	turn, err := r.beginTurn(ctx)
 	if err != nil {
 		r.refuse(err)
 		return
 	}
-	out := &stream{request: r, lastEvent: r.envelope.LastEventID}
-	defer turn.settle(out)
-	err = out.run(ctx)
-	if err == nil && out.begun {
-		err = turn.keep(ctx, out)
+	response := &stream{request: r, lastEventID: r.metadata.LastEventID}
+	defer turn.settle(response)
+	err = response.run(ctx)
+	if err == nil && response.headersSent {
+		err = turn.store(ctx, response)
 	}
 	switch {
-	case err == nil && out.begun:
-		r.endAnswered(http.StatusOK)
+	case err == nil && response.headersSent:
+		r.finishAnswered(http.StatusOK)
 	case err == nil:
-	case out.begun:
+	case response.headersSent:
 		r.abort(err)
 	default:
 		r.refuse(err)
 	}
 }
 
-// run sends the request and passes events on, and goes on at the last event
-// where a resumable stream breaks.
+// run sends the request and forwards its events. If a resumable stream breaks, it resumes after
+// the last event forwarded.
 func (s *stream) run(ctx context.Context) error {
-	one, err := s.request.send(ctx, s.resumeAt())
+	attempt, err := s.request.send(ctx, s.resumeAfter())
 	for {
 		if err == nil {
-			err = s.pass(ctx, one)
+			err = s.forwardEvents(ctx, attempt)
 		}
 		if err == nil || ctx.Err() != nil || !s.request.route.Resumable {
 			return err
@@ -70,128 +70,128 @@
 		if !errors.As(err, &lost) || errors.As(err, &silent) {
 			return err
 		}
-		one, err = s.resume(ctx, err)
+		attempt, err = s.resume(ctx, err)
 	}
 }
 
-// resumeAt returns the event to go on from, if any was passed on here; what the
-// client's own head says travels along by itself.
-func (s *stream) resumeAt() string {
-	if !s.begun {
+// resumeAfter returns the id of the event to resume after; empty if none was forwarded here.
+// The client's own Last-Event-ID header is forwarded unchanged.
+func (s *stream) resumeAfter() string {
+	if !s.headersSent {
 		return ""
 	}
-	return s.lastEvent
+	return s.lastEventID
 }
 
-// resume goes on at the same worker, which has the prompt in memory; only if
-// that one is not reached, at another.
-func (s *stream) resume(ctx context.Context, broken error) (*attempt, error) {
+// resume resumes the stream at the same worker, which has the prompt in memory, or at another
+// worker if that one cannot be reached.
+func (s *stream) resume(ctx context.Context, cause error) (*attempt, error) {
 	r := s.request
 	if r.resumes >= maxResumes {
-		return nil, broken
+		return nil, cause
 	}
 	r.resumes++
-	r.note(eventResumed, "worker", r.workerID, "after_event", s.resumeAt(), "cause", broken.Error())
-	same, listed := r.listed(r.workerID)
-	if listed && !r.gone[same.ID] && !r.gateway.zones.detector.IsUnreachable(same.Zone) && !r.gateway.disabled(mechanism.ResumeAtSameWorker) {
-		one, err := r.sendToSame(ctx, same, s.resumeAt())
+	r.addLogEntry(eventStreamResumed, "worker", r.lastWorkerID, "after_event", s.resumeAfter(), "cause", cause.Error())
+	sameWorker, listed := r.findWorker(r.lastWorkerID)
+	if listed && !r.terminated[sameWorker.ID] && !r.gateway.zoneMonitor.detector.IsUnreachable(sameWorker.Zone) && !r.gateway.disabled(mechanism.ResumeAtSameWorker) {
+		attempt, err := r.resumeAtSameWorker(ctx, sameWorker, s.resumeAfter())
 		var notSent *worker.NotSent
 		var cold *WorkerCold
 		if err == nil || !errors.As(err, &notSent) {
-			return one, err
+			return attempt, err
 		}
-		// A worker that is cold, or may not get the request now, has not ended: the request may
-		// still run there.
+		// A worker that is cold or not eligible now has not ended, so the request may still run
+		// there.
 		var ineligible *NotEligible
 		if !errors.As(err, &cold) && !errors.As(err, &ineligible) {
-			r.gone[same.ID] = true
+			r.terminated[sameWorker.ID] = true
 		}
 	}
-	if len(r.ran) > len(r.gone) && len(r.ran) >= r.route.MaxAttempts {
-		return nil, broken
+	if len(r.mayHaveRun) > len(r.terminated) && len(r.mayHaveRun) >= r.route.MaxAttempts {
+		return nil, cause
 	}
-	return r.send(ctx, s.resumeAt())
+	return r.send(ctx, s.resumeAfter())
 }
 
-// sendToSame sends the request to a worker that has run it. Where that one is cold, a wait
-// for a pass is better than a broken answer.
-func (r *request) sendToSame(ctx context.Context, same directory.Worker, lastEvent string) (*attempt, error) {
-	until := time.Now().Add(coldResumeWait)
+// resumeAtSameWorker sends the request to a worker that has run it before. If the worker is
+// cold, waiting for a permit is better than aborting the response.
+func (r *request) resumeAtSameWorker(ctx context.Context, sameWorker directory.Worker, lastEventID string) (*attempt, error) {
+	latest := time.Now().Add(maxColdResumeWait)
 	for {
-		r.gateway.balancer.Begin(same.ID)
-		one, err := r.sendTo(ctx, same, lastEvent)
+		r.gateway.balancer.Begin(sameWorker.ID)
+		attempt, err := r.sendTo(ctx, sameWorker, lastEventID)
 		var cold *WorkerCold
-		if !errors.As(err, &cold) || time.Now().Add(cold.RetryAfter).After(until) || !pause.For(ctx, cold.RetryAfter) {
-			return one, err
+		if !errors.As(err, &cold) || time.Now().Add(cold.RetryAfter).After(latest) || !pause.For(ctx, cold.RetryAfter) {
+			return attempt, err
 		}
 	}
 }
 
-// listed finds a worker that is still in the service.
-func (r *request) listed(id string) (directory.Worker, bool) {
-	known, found := r.gateway.directory.View().Workers.Find(id)
-	if !found || known.Service != r.service.Name {
+// findWorker returns a worker if it is still listed in the request's service.
+func (r *request) findWorker(id string) (directory.Worker, bool) {
+	listed, found := r.gateway.directory.View().Workers.Find(id)
+	if !found || listed.Service != r.service.Name {
 		return directory.Worker{}, false
 	}
-	return known.Worker, true
+	return listed.Worker, true
 }
 
-// pass passes the events of one attempt on, each whole and at once.
-func (s *stream) pass(ctx context.Context, one *attempt) error {
+// forwardEvents forwards the events of one attempt, each of them complete and immediately.
+func (s *stream) forwardEvents(ctx context.Context, attempt *attempt) error {
 	r := s.request
-	if one.answer.Status != http.StatusOK {
-		if s.begun {
-			one.close()
-			r.gateway.done(r, one.worker, balance.Served)
-			return &worker.ResponseLost{Cause: &UnexpectedStatus{Status: one.answer.Status}}
+	if attempt.response.Status != http.StatusOK {
+		if s.headersSent {
+			attempt.close()
+			r.gateway.attemptDone(r, attempt.worker, balance.Served)
+			return &worker.ResponseLost{Cause: &UnexpectedStatus{Status: attempt.response.Status}}
 		}
-		return r.relay(one)
+		return r.forwardResponse(attempt)
 	}
-	defer one.close()
-	reader := newEventReader(one.answer.Body)
-	begun, before := time.Now(), s.events
+	defer attempt.close()
+	reader := newEventReader(attempt.response.Body)
+	start, eventsBefore := time.Now(), s.eventCount
 	for {
 		event, err := reader.next()
 		if err == io.EOF {
-			r.gateway.done(r, one.worker, balance.Served)
-			s.pace(one, time.Since(begun), s.events-before-1)
-			return s.finish(one)
+			r.gateway.attemptDone(r, attempt.worker, balance.Served)
+			s.recordEventGap(attempt, time.Since(start), s.eventCount-eventsBefore-1)
+			return s.finish(attempt)
 		}
 		if err != nil {
-			err = r.causeOf(one.context, one.worker, one.watch.blame(err))
-			r.gateway.done(r, one.worker, verdictOfBreak(ctx, err))
-			r.note(eventLost, "worker", one.worker.ID, "cause", err.Error(), "events", s.events)
-			return asLost(err)
+			err = r.explainFailure(attempt.zoneContext, attempt.worker, attempt.watchdog.explainFailure(err))
+			r.gateway.attemptDone(r, attempt.worker, resultOfFailure(ctx, err))
+			r.addLogEntry(eventAttemptLost, "worker", attempt.worker.ID, "cause", err.Error(), "events", s.eventCount)
+			return asResponseLost(err)
 		}
-		one.watch.heard()
-		if err := s.forward(one, event); err != nil {
-			r.gateway.done(r, one.worker, balance.Canceled)
+		attempt.watchdog.eventReceived()
+		if err := s.forwardEvent(attempt, event); err != nil {
+			r.gateway.attemptDone(r, attempt.worker, balance.Canceled)
 			return &worker.ResponseLost{Cause: err}
 		}
-		if s.events-before == 1 {
-			begun = time.Now()
+		if s.eventCount-eventsBefore == 1 {
+			start = time.Now()
 		}
-		if s.events-before == minPaceEvents+1 {
-			// A slow worker shows before the stream has ended.
-			s.pace(one, time.Since(begun), minPaceEvents)
+		if s.eventCount-eventsBefore == minEventsForGap+1 {
+			// Record a slow worker before its stream has ended.
+			s.recordEventGap(attempt, time.Since(start), minEventsForGap)
 		}
 	}
 }
 
-// pace tells the balancer how fast the worker's events came, against the gap
-// that the route aims at.
-func (s *stream) pace(one *attempt, took time.Duration, events int64) {
+// recordEventGap reports to the balancer how fast a worker sends events, as a ratio of the route's
+// target gap.
+func (s *stream) recordEventGap(attempt *attempt, elapsed time.Duration, eventCount int64) {
 	gap := s.request.route.TargetGap
-	if gap <= 0 || events < minPaceEvents {
+	if gap <= 0 || eventCount < minEventsForGap {
 		return
 	}
-	s.request.gateway.paced(one.worker, took.Seconds()/float64(events)/gap.Seconds())
+	s.request.gateway.recordLatencyRatio(attempt.worker, elapsed.Seconds()/float64(eventCount)/gap.Seconds())
 }
 
-// forward passes one event on.
-func (s *stream) forward(one *attempt, event streamEvent) error {
+// forwardEvent forwards one event.
+func (s *stream) forwardEvent(attempt *attempt, event streamEvent) error {
 	r := s.request
-	s.begin(one)
+	s.sendHeaders(attempt)
 	if _, err := r.writer.Write(event.raw); err != nil {
 		return err
 	}
@@ -199,40 +199,40 @@
 		return err
 	}
 	if event.id != "" {
-		s.lastEvent = event.id
+		s.lastEventID = event.id
 	}
 	if event.hasData {
-		s.events++
-		r.events++
+		s.eventCount++
+		r.eventCount++
 		if r.route.Stateful {
 			s.output = append(append(s.output, event.data...), '\n')
-			r.holdOutput(len(event.data) + 1)
+			r.countOutputBytes(len(event.data) + 1)
 		}
 	}
 	return nil
 }
 
-// holdOutput counts what a kept turn has said until it is kept. It was said, so that it must be
-// held; requests that come find less room.
-func (r *request) holdOutput(bytes int) {
-	if r.bodyBytes != nil {
-		r.bodyBytes.ForceAcquire(bytes)
+// countOutputBytes counts the output of a turn until it is stored. The output must be buffered in
+// any case, so it may exceed the limit; new requests then get less memory.
+func (r *request) countOutputBytes(bytes int) {
+	if r.bodyReservation != nil {
+		r.bodyReservation.ForceAcquire(bytes)
 	}
 }
 
-// begin sends the head of the first attempt that answers.
-func (s *stream) begin(one *attempt) {
-	if s.begun {
+// sendHeaders sends the response headers of the first attempt that responds.
+func (s *stream) sendHeaders(attempt *attempt) {
+	if s.headersSent {
 		return
 	}
-	s.begun = true
-	s.request.firstEvent = time.Now()
-	copyHead(s.request.writer.Header(), one.answer.Header)
-	s.request.writer.WriteHeader(one.answer.Status)
+	s.headersSent = true
+	s.request.firstEventAt = time.Now()
+	copyHeaders(s.request.writer.Header(), attempt.response.Header)
+	s.request.writer.WriteHeader(attempt.response.Status)
 }
 
-// finish ends a stream that is complete.
-func (s *stream) finish(one *attempt) error {
-	s.begin(one)
+// finish completes a stream.
+func (s *stream) finish(attempt *attempt) error {
+	s.sendHeaders(attempt)
 	return nil
 }
--- a/internal/gateway/subset_test.go
+++ b/internal/gateway/subset_test.go
@@ -15,13 +15,14 @@
 	"github.com/barleyshelf/barleyshelf/internal/worker"
 )
 
-// gatewayBefore returns a gateway before so many workers of one service in six zones.
-func gatewayBefore(workers int) *Gateway {
+// gatewayWithWorkers returns a gateway with the given number of workers of one service in six
+// zones.
+func gatewayWithWorkers(workers int) *Gateway {
 	g := &Gateway{
-		balancer: balance.New(time.Now, "zone-0"), subsets: balance.NewSubsetSizes(time.Now), metrics: newMetrics(telemetry.NewRegistry()),
-		pool: worker.NewPool(nil), waits: balance.NewServiceLatencies(), cold: newColdWorkers(func() bool { return false }), directory: directory.NewState(time.Now, nil),
+		balancer: balance.New(time.Now, "zone-0"), subsetSizes: balance.NewSubsetSizes(time.Now), metrics: newMetrics(telemetry.NewRegistry()),
+		pool: worker.NewPool(nil), firstEventLatencies: balance.NewServiceLatencies(), coldWorkers: newColdWorkers(func() bool { return false }), directory: directory.NewState(time.Now, nil),
 	}
-	g.zones, g.ways = newZoneWatch(g), distance.NewZoneLatencies(g.places)
+	g.zoneMonitor, g.connectTimes = newZoneMonitor(g), distance.NewZoneLatencies(g.zoneDistances)
 	var listed []directory.Worker
 	for i := range workers {
 		id := fmt.Sprintf("worker-%05d", i)
@@ -31,24 +32,25 @@
 	return g
 }
 
-func choosingAt(g *Gateway) *request {
-	r := requestOf(g)
+func requestForService(g *Gateway) *request {
+	r := newRequest(g)
 	r.route, r.service = &route.Route{}, route.Service{Name: "s"}
 	return r
 }
 
-// TestSubsetSizeDoesNotGrowWithWorkers counts the workers that a request chooses from.
+// TestSubsetSizeDoesNotGrowWithWorkers compares the number of candidates for services of
+// different sizes.
 func TestSubsetSizeDoesNotGrowWithWorkers(t *testing.T) {
-	require.Len(t, gatewayBefore(3000).subset("s"), len(gatewayBefore(12_000).subset("s")))
-	require.Len(t, gatewayBefore(60).subset("s"), 60, "few workers are all chosen from")
+	require.Len(t, gatewayWithWorkers(3000).workerSubset("s"), len(gatewayWithWorkers(12_000).workerSubset("s")))
+	require.Len(t, gatewayWithWorkers(60).workerSubset("s"), 60, "a small service has all workers in its subset")
 }
 
-// TestAllWorkersAreConsideredAfterSubsetIsExhausted is about workers of the subset that have all
-// turned the request away.
+// TestAllWorkersAreConsideredAfterSubsetIsExhausted uses a subset whose workers have all
+// rejected the request.
 func TestAllWorkersAreConsideredAfterSubsetIsExhausted(t *testing.T) {
-	g := gatewayBefore(3000)
-	r := choosingAt(g)
-	for _, each := range g.subset("s") {
+	g := gatewayWithWorkers(3000)
+	r := requestForService(g)
+	for _, each := range g.workerSubset("s") {
 		r.tried[each.ID] = true
 	}
 	chosen, found := r.choose()
@@ -56,19 +58,20 @@
 	require.False(t, r.tried[chosen.ID])
 }
 
-// TestGatewaysOfZoneChooseSameWorkerForProgram is what keeps prompts warm.
+// TestGatewaysOfZoneChooseSameWorkerForProgram verifies that a program's requests reach the
+// worker that has its prompts in memory.
 func TestGatewaysOfZoneChooseSameWorkerForProgram(t *testing.T) {
-	first, second := gatewayBefore(3000), gatewayBefore(3000)
+	first, second := gatewayWithWorkers(3000), gatewayWithWorkers(3000)
 	for program := range 20 {
 		var chosen []string
 		for _, g := range []*Gateway{first, second} {
-			r := choosingAt(g)
+			r := requestForService(g)
 			r.service.Engine = &route.Engine{}
-			r.envelope.Program = fmt.Sprint("program-", program)
-			one, found := r.choose()
+			r.metadata.Program = fmt.Sprint("program-", program)
+			worker, found := r.choose()
 			require.True(t, found)
-			require.Equal(t, "zone-0", one.Zone)
-			chosen = append(chosen, one.ID)
+			require.Equal(t, "zone-0", worker.Zone)
+			chosen = append(chosen, worker.ID)
 		}
 		require.Equal(t, chosen[0], chosen[1])
 	}
--- a/internal/gateway/tenant.go
+++ b/internal/gateway/tenant.go
@@ -7,20 +7,20 @@
 	"github.com/barleyshelf/barleyshelf/internal/route"
 )
 
-// identify finds the tenant that holds the client's key. On a public route a key is not
-// needed, and one that nobody holds does no harm.
-func (r *request) identify(table *route.Table) error {
-	if table.RequiresKeys() && r.envelope.HasKey {
-		r.tenant = table.Tenant(r.envelope.KeyHash)
+// identifyTenant finds the tenant that owns the client's key. Public routes need no key and
+// ignore unknown ones.
+func (r *request) identifyTenant(table *route.Table) error {
+	if table.RequiresKeys() && r.metadata.HasKey {
+		r.tenant = table.Tenant(r.metadata.KeyHash)
 	}
-	r.program = programOf(r.tenantName(), r.envelope.Program)
+	r.programKey = qualifyProgram(r.tenantName(), r.metadata.Program)
 	if r.tenant != nil || r.route.Public || !table.RequiresKeys() {
 		return nil
 	}
-	return &UnknownKey{Missing: !r.envelope.HasKey, Version: table.Version()}
+	return &UnknownKey{Missing: !r.metadata.HasKey, Version: table.Version()}
 }
 
-// tenantName returns the name of the request's tenant; "" is none.
+// tenantName returns the name of the request's tenant, or an empty string.
 func (r *request) tenantName() string {
 	if r.tenant == nil {
 		return ""
@@ -28,20 +28,21 @@
 	return r.tenant.Name
 }
 
-// programOf names a tenant's program in kept state. A tenant that uses another one's name
-// for a program gets a program of its own.
-func programOf(tenant, program string) string {
+// qualifyProgram returns the key of a tenant's program in stored state. It keeps programs with
+// the same name of different tenants apart.
+func qualifyProgram(tenant, program string) string {
 	if tenant == "" || program == "" {
 		return program
 	}
 	return url.PathEscape(tenant) + "/" + program
 }
 
-// UnknownKey reports a request without a key that the configuration in force knows.
+// UnknownKey reports a request on a non-public route without a key that the configuration in
+// force contains.
 type UnknownKey struct {
-	// Missing is set where the client sent no key at all.
+	// Missing is set if the client sent no key.
 	Missing bool
-	// Version is the configuration's.
+	// Version is the version of the configuration.
 	Version uint64
 }
 
@@ -58,5 +59,5 @@
 // Outcome returns NotRun.
 func (e *UnknownKey) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry forbids a repeat.
+// Retry allows no retry.
 func (e *UnknownKey) Retry() failure.Retry { return failure.Retry{} }
--- a/internal/gateway/turns.go
+++ b/internal/gateway/turns.go
@@ -13,78 +13,77 @@
 )
 
 const (
-	// firstBudgetPause and lastBudgetPause bound the pauses, which double, of a turn
-	// that waits for its program's other turns to be settled.
-	firstBudgetPause = 80 * time.Millisecond
-	lastBudgetPause  = 160 * time.Millisecond
+	// initialBudgetBackoff and maxBudgetBackoff bound the exponential backoff of a turn that
+	// waits for other turns of its program to be settled.
+	initialBudgetBackoff = 80 * time.Millisecond
+	maxBudgetBackoff     = 160 * time.Millisecond
 )
 
-// turnState is what a turn has reserved and is to keep.
+// turnState is the state of a turn: its reservation and the input to store.
 type turnState struct {
 	request *request
-	// reserved is set if the turn counts against a budget.
-	reserved bool
-	// reservation names the reservation; it differs for each attempt, also where
-	// a client uses a request id twice.
-	reservation string
-	// granted is when the reservation was granted; zero until then.
-	granted time.Time
-	// lender holds the loan that the turn draws on; nil where a majority has its
+	// hasReservation is set while the turn has a reservation that must be settled.
+	hasReservation bool
+	// reservationID is unique for each attempt to reserve, also if a client reuses a request
+	// id.
+	reservationID string
+	// grantedAt is when the reservation was granted; zero before that.
+	grantedAt time.Time
+	// loanHolder is the replica with the loan that the turn draws on; nil if a majority has its
 	// reservation.
-	lender *quorum.LoanHolder
-	// late is the turn's draw that was not answered in time; nil where there is none.
-	late *lateDraw
-	// tight is set where another turn of the program does not fit beside this one
-	// until this one is settled.
-	tight bool
-	// input is the turn's own input.
+	loanHolder *quorum.LoanHolder
+	// pendingDraw is the turn's draw that was not answered in time; nil if there is none.
+	pendingDraw *pendingDraw
+	// budgetTight is set if no other turn of the program fits the budget until this one is
+	// settled.
+	budgetTight bool
+	// input is the turn's own input, without earlier turns.
 	input []byte
 }
 
-// beginTurn lets the turn in within its tenant's limit, reserves its most tokens and puts
-// the turns before it in front of its input. Nothing is sent to a worker before all are
-// done.
+// beginTurn admits the turn within its tenant's quota, reserves its maximum tokens and prepends
+// the earlier turns to its input. Nothing is sent to a worker before all of that is done.
 func (r *request) beginTurn(ctx context.Context) (*turnState, error) {
 	state := &turnState{request: r, input: r.body}
-	budgeted := r.budgeted()
-	if !budgeted && !r.route.Stateful {
-		return state, r.admitAlone(ctx)
+	hasBudget := r.hasBudget()
+	if !hasBudget && !r.route.Stateful {
+		return state, r.admitWithWait(ctx)
 	}
-	if budgeted {
-		// This needs no replica, and is the truer reason where none answers.
-		if err := r.knownSpent(); err != nil {
+	if hasBudget {
+		// This check needs no replica, and gives the more accurate reason if none answers.
+		if err := r.checkKnownSpent(); err != nil {
 			return nil, err
 		}
 	}
-	if err := r.checkKeepable(); err != nil {
+	if err := r.checkTurnStorable(); err != nil {
 		return nil, err
 	}
-	outlook, err := r.stateOutlook()
+	availability, err := r.checkReplicas()
 	if err != nil {
-		var short *TimeTooShort
-		if errors.As(err, &short) {
+		var tooShort *TimeTooShort
+		if errors.As(err, &tooShort) {
 			return nil, err
 		}
-		return state.beginOnLoan(ctx, err)
+		return state.beginOnLoanOnly(ctx, err)
 	}
-	defer r.hold(heldForState)()
-	wait, cancel := context.WithTimeout(ctx, outlook.WaitLimit)
+	defer r.startWait(waitForState)()
+	waitContext, cancel := context.WithTimeout(ctx, availability.WaitLimit)
 	defer cancel()
 	assembled, admitted, confirmed := make(chan error, 1), make(chan error, 1), make(chan error, 1)
-	go func() { assembled <- r.assemble(wait) }()
-	go func() { confirmed <- r.confirmKeepers(wait) }()
-	go func() { admitted <- r.admit(wait) }()
-	if budgeted {
-		err = state.reserve(wait)
+	go func() { assembled <- r.assemblePrompt(waitContext) }()
+	go func() { confirmed <- r.confirmTurnReplicas(waitContext) }()
+	go func() { admitted <- r.admit(waitContext) }()
+	if hasBudget {
+		err = state.reserve(waitContext)
 	}
-	if chainErr := <-assembled; err == nil {
-		err = chainErr
+	if assembleErr := <-assembled; err == nil {
+		err = assembleErr
 	}
-	if keepErr := <-confirmed; err == nil {
-		err = keepErr
+	if confirmErr := <-confirmed; err == nil {
+		err = confirmErr
 	}
-	if quotaErr := <-admitted; err == nil {
-		err = quotaErr
+	if admitErr := <-admitted; err == nil {
+		err = admitErr
 	}
 	if err != nil {
 		state.settle(&stream{request: r})
@@ -93,50 +92,50 @@
 	return state, nil
 }
 
-// stateOutlook returns for how long a turn may wait for replicas. It fails at once where
-// that is in vain: no majority has answered for longer than is usual, or none answers
-// this gateway while others may reach them.
-func (r *request) stateOutlook() (quorum.Availability, error) {
-	outlook := r.outlook()
-	if r.gateway.state.isolated() {
-		return outlook, &Isolated{}
+// checkReplicas returns how long a turn may wait for replicas. It fails at once if waiting is
+// useless: no majority has answered for longer than usual, or none answers this gateway while
+// other gateways may reach it.
+func (r *request) checkReplicas() (quorum.Availability, error) {
+	availability := r.majorityAvailability()
+	if r.gateway.replicaHealth.isolated() {
+		return availability, &Isolated{}
 	}
-	if after, cutOff := r.gateway.cutOffComeBack(); cutOff && !r.gateway.quorum.HasLocalMajority(r.program) {
-		return outlook, &ZoneCutOff{Zone: r.gateway.options.Zone, RetryAfter: after}
+	if retryAfter, cutOff := r.gateway.cutOffRetryAfter(); cutOff && !r.gateway.quorum.HasLocalMajority(r.programKey) {
+		return availability, &ZoneCutOff{Zone: r.gateway.options.Zone, RetryAfter: retryAfter}
 	}
-	if outlook.WaitLimit <= 0 {
-		return outlook, &MajorityUnavailable{UnavailableFor: outlook.UnavailableFor, MemberAnswers: outlook.MemberAnswers, RetryAfter: outlook.RetryAfter}
+	if availability.WaitLimit <= 0 {
+		return availability, &MajorityUnavailable{UnavailableFor: availability.UnavailableFor, MemberAnswers: availability.MemberAnswers, RetryAfter: availability.RetryAfter}
 	}
-	outlook.WaitLimit = min(outlook.WaitLimit, r.timeToWait())
-	if outlook.WaitLimit <= 0 {
-		return outlook, r.checkTime()
+	availability.WaitLimit = min(availability.WaitLimit, r.slack())
+	if availability.WaitLimit <= 0 {
+		return availability, r.checkRemainingTime()
 	}
-	return outlook, nil
+	return availability, nil
 }
 
-// timeToWait is how long the request may wait so that a worker can still answer after it.
-func (r *request) timeToWait() time.Duration { return time.Until(r.deadline) - r.fastest().Value() }
+// slack returns how long the request may wait and still leave a worker enough time to respond.
+func (r *request) slack() time.Duration { return time.Until(r.deadline) - r.fastestResponse().Value() }
 
-// outlook returns what is expected of the majorities that keep the program's budget and
-// the request's turn: the worse of the two.
-func (r *request) outlook() quorum.Availability {
-	budget := r.gateway.quorum.ProgramAvailability(r.program)
+// majorityAvailability returns the availability of the majority that stores the program's budget
+// or of the majority that stores the turn, whichever is worse.
+func (r *request) majorityAvailability() quorum.Availability {
+	budgetAvailability := r.gateway.quorum.ProgramAvailability(r.programKey)
 	scope := r.scope()
 	if !r.route.Stateful || !r.gateway.quorum.StoresTurnsSeparately(scope) {
-		return budget
+		return budgetAvailability
 	}
-	kept := r.gateway.quorum.ScopeAvailability(scope)
-	if !r.budgeted() || kept.WaitLimit < budget.WaitLimit || kept.UnavailableFor > budget.UnavailableFor {
-		return kept
+	turnAvailability := r.gateway.quorum.ScopeAvailability(scope)
+	if !r.hasBudget() || turnAvailability.WaitLimit < budgetAvailability.WaitLimit || turnAvailability.UnavailableFor > budgetAvailability.UnavailableFor {
+		return turnAvailability
 	}
-	return budget
+	return budgetAvailability
 }
 
-// budgeted reports whether the turn counts against a program's budget.
-func (r *request) budgeted() bool { return r.envelope.TokenBudget >= 0 && r.envelope.Program != "" }
+// hasBudget reports whether the turn counts against the token budget of a program.
+func (r *request) hasBudget() bool { return r.metadata.TokenBudget >= 0 && r.metadata.Program != "" }
 
-// checkKeepable fails where the turn is to be kept and no partition may keep it.
-func (r *request) checkKeepable() error {
+// checkTurnStorable fails if the turn has to be stored and no partition may store it.
+func (r *request) checkTurnStorable() error {
 	if !r.route.Stateful {
 		return nil
 	}
@@ -144,138 +143,141 @@
 	return err
 }
 
-// confirmKeepers waits until a majority answers that is to keep the turn, where that is
-// not the one which keeps the program's budget: what ran and cannot be kept is lost.
-func (r *request) confirmKeepers(ctx context.Context) error {
+// confirmTurnReplicas waits until the majority that will store the turn answers, if it is not
+// the one that stores the program's budget. Without this check a turn could run and then be
+// lost.
+func (r *request) confirmTurnReplicas(ctx context.Context) error {
 	scope := r.scope()
 	if !r.route.Stateful || !r.gateway.quorum.StoresTurnsSeparately(scope) {
 		return nil
 	}
 	if err := r.gateway.quorum.ConfirmMajority(ctx, scope); err != nil {
-		return r.unavailable(err)
+		return r.stateUnavailableError(err)
 	}
 	return nil
 }
 
-// unavailable is the failure of a turn whose replicas did not answer in time.
-func (r *request) unavailable(cause error) error {
-	return &StateUnavailable{Cause: cause, RetryAfter: r.outlook().RetryAfter}
+// stateUnavailableError returns the error for a turn whose replicas did not answer in time.
+func (r *request) stateUnavailableError(cause error) error {
+	return &StateUnavailable{Cause: cause, RetryAfter: r.majorityAvailability().RetryAfter}
 }
 
-// reserve writes the reservation to a majority and checks the program's sum as
-// that majority knows it. Where the turn would fit if the program's other turns use
-// less than their most, it waits a little for their settlements.
+// reserve writes the reservation to a majority and checks the program's total as known to that
+// majority. If the turn may fit once other turns of the program settle for less than their
+// maximum, reserve waits a limited time for their settlements.
 func (t *turnState) reserve(ctx context.Context) error {
-	for wait := firstBudgetPause; ; wait *= 2 {
-		err := t.reserveBesideLoans(ctx)
+	for backoff := initialBudgetBackoff; ; backoff *= 2 {
+		err := t.reserveRecallingLoans(ctx)
 		var spent *BudgetSpent
-		if !errors.As(err, &spent) || !spent.Unsettled || wait > lastBudgetPause {
+		if !errors.As(err, &spent) || !spent.Unsettled || backoff > maxBudgetBackoff {
 			return err
 		}
-		// Withdrawn meanwhile, so that two turns do not wait for each other.
+		// Withdraw the reservation during the wait, so that two turns do not wait for each
+		// other.
 		t.settle(&stream{request: t.request})
-		settled := t.request.hold(heldForBudget)
-		goesOn := pause.For(ctx, wait/2+rand.N(wait))
-		settled()
-		if !goesOn {
+		endWait := t.request.startWait(waitForBudget)
+		elapsed := pause.For(ctx, backoff/2+rand.N(backoff))
+		endWait()
+		if !elapsed {
 			return err
 		}
 	}
 }
 
-// knownSpent returns the failure of a turn whose program is known to have used so much
-// that the turn does not fit, or nil.
-func (r *request) knownSpent() error {
-	envelope := &r.envelope
-	settled := r.gateway.spent.of(r.program)
-	if r.gateway.disabled(mechanism.SpentTokenCache) || settled+envelope.MaxTokens <= envelope.TokenBudget {
+// checkKnownSpent returns a BudgetSpent error if the turn does not fit beside the tokens that
+// its program is known to have used.
+func (r *request) checkKnownSpent() error {
+	metadata := &r.metadata
+	settled := r.gateway.spentTokens.get(r.programKey)
+	if r.gateway.disabled(mechanism.SpentTokenCache) || settled+metadata.MaxTokens <= metadata.TokenBudget {
 		return nil
 	}
-	return &BudgetSpent{Program: envelope.Program, Committed: settled, Budget: envelope.TokenBudget}
+	return &BudgetSpent{Program: metadata.Program, Committed: settled, Budget: metadata.TokenBudget}
 }
 
-// tryToReserve makes one reservation.
-func (t *turnState) tryToReserve(ctx context.Context) error {
-	envelope, gateway := &t.request.envelope, t.request.gateway
-	if err := t.request.knownSpent(); err != nil {
+// reserveOnce tries to make one reservation.
+func (t *turnState) reserveOnce(ctx context.Context) error {
+	metadata, gateway := &t.request.metadata, t.request.gateway
+	if err := t.request.checkKnownSpent(); err != nil {
 		return err
 	}
-	t.reserved = true
-	t.reservation = newReservationID()
-	if t.draw(ctx, quorum.DrawTimeout) {
+	t.hasReservation = true
+	t.reservationID = newReservationID()
+	if t.drawIfLikely(ctx, quorum.DrawTimeout) {
 		return nil
 	}
-	reservation := &replicav1.Reservation{Id: t.reservation, Program: t.request.program, Most: envelope.MaxTokens}
+	reservation := &replicav1.Reservation{Id: t.reservationID, Program: t.request.programKey, Most: metadata.MaxTokens}
 	record := &replicav1.Record{
 		Kind:        &replicav1.Record_Reservation{Reservation: reservation},
-		RetentionMs: t.request.retention().Milliseconds(),
+		RetentionMs: t.request.recordRetention().Milliseconds(),
 	}
-	began := time.Now()
-	wish := t.wishLoan()
-	ledger, err := gateway.quorum.Reserve(ctx, record, wish.records()...)
-	gateway.state.note(err, time.Since(began))
+	start := time.Now()
+	loanRequest := t.newLoanRequest()
+	ledger, err := gateway.quorum.Reserve(ctx, record, loanRequest.records()...)
+	gateway.replicaHealth.recordCall(err, time.Since(start))
 	if err != nil {
-		wish.withdraw()
-		if t.drawLate() {
+		loanRequest.withdraw()
+		if t.awaitPendingDraw() {
 			return nil
 		}
-		return t.request.unavailable(err)
+		return t.request.stateUnavailableError(err)
 	}
-	t.abandonLateDraw()
-	wish.takeFrom(ledger)
+	t.releasePendingDraw()
+	loanRequest.removeFrom(ledger)
 	settled := ledger.Settled()
-	gateway.spent.note(t.request.program, settled)
-	if !ledger.Fits(t.reservation, envelope.MaxTokens, envelope.TokenBudget) {
-		wish.withdraw()
-		if loans := ledger.Loans(); len(loans) > 0 && ledger.FitsWithoutLoans(t.reservation, envelope.MaxTokens, envelope.TokenBudget) {
-			return &budgetLent{loans: loans}
+	gateway.spentTokens.record(t.request.programKey, settled)
+	if !ledger.Fits(t.reservationID, metadata.MaxTokens, metadata.TokenBudget) {
+		loanRequest.withdraw()
+		if loans := ledger.Loans(); len(loans) > 0 && ledger.FitsWithoutLoans(t.reservationID, metadata.MaxTokens, metadata.TokenBudget) {
+			return &blockedByLoans{loans: loans}
 		}
 		return &BudgetSpent{
-			Program: envelope.Program, Committed: ledger.Committed(t.reservation), Budget: envelope.TokenBudget,
-			Unsettled: settled+envelope.MaxTokens <= envelope.TokenBudget,
+			Program: metadata.Program, Committed: ledger.Committed(t.reservationID), Budget: metadata.TokenBudget,
+			Unsettled: settled+metadata.MaxTokens <= metadata.TokenBudget,
 		}
 	}
-	t.granted = time.Now()
-	t.tight = !ledger.Fits(t.reservation, 2*envelope.MaxTokens, envelope.TokenBudget)
-	t.request.note(eventReserved, "reservation", t.reservation, "most", envelope.MaxTokens,
-		"committed", ledger.Committed(t.reservation), "budget", envelope.TokenBudget)
-	wish.grant(ledger)
+	t.grantedAt = time.Now()
+	t.budgetTight = !ledger.Fits(t.reservationID, 2*metadata.MaxTokens, metadata.TokenBudget)
+	t.request.addLogEntry(eventBudgetReserved, "reservation", t.reservationID, "most", metadata.MaxTokens,
+		"committed", ledger.Committed(t.reservationID), "budget", metadata.TokenBudget)
+	loanRequest.openIfFits(ledger)
 	return nil
 }
 
-// assemble makes the prompt of a kept line: the inputs and outputs before, and
-// the new input.
-func (r *request) assemble(ctx context.Context) error {
-	if !r.route.Stateful || r.envelope.PreviousTurnID == "" {
+// assemblePrompt prepends the inputs and outputs of the earlier turns to the input of a
+// stateful turn.
+func (r *request) assemblePrompt(ctx context.Context) error {
+	if !r.route.Stateful || r.metadata.PreviousTurnID == "" {
 		return nil
 	}
 	scope := r.scope()
-	chain, err := r.gateway.chains.get(ctx, scope, r.envelope.PreviousTurnID)
+	chain, err := r.gateway.turns.chain(ctx, scope, r.metadata.PreviousTurnID)
 	var unknown *quorum.UnknownTurn
 	var elsewhere *quorum.TurnRegionMismatch
 	if errors.As(err, &unknown) || errors.As(err, &elsewhere) {
 		return err
 	}
 	if err != nil {
-		return r.unavailable(err)
+		return r.stateUnavailableError(err)
 	}
 	if len(chain) > 0 && chain[0].Tenant != r.tenantName() {
-		// Said alike of a turn that does not exist. The turns before it are its tenant's too.
-		return &quorum.UnknownTurn{Turn: r.envelope.PreviousTurnID}
+		// The error is the same as for a turn that does not exist. All turns of a chain belong
+		// to one tenant.
+		return &quorum.UnknownTurn{Turn: r.metadata.PreviousTurnID}
 	}
-	for _, before := range chain {
-		if err := r.gateway.quorum.CheckContinuation(scope, before); err != nil {
+	for _, previous := range chain {
+		if err := r.gateway.quorum.CheckContinuation(scope, previous); err != nil {
 			return err
 		}
 	}
 	if len(chain) > 0 && !r.gateway.quorum.SamePartition(quorum.ScopeOf(chain[0]), scope) {
-		r.adopted = chain
+		r.copiedTurns = chain
 	}
 	size := len(r.body)
-	for _, before := range chain {
-		size += len(before.Input) + len(before.Output)
+	for _, previous := range chain {
+		size += len(previous.Input) + len(previous.Output)
 	}
-	if err := r.takeBody(size - len(r.body)); err != nil {
+	if err := r.reserveBody(size - len(r.body)); err != nil {
 		return err
 	}
 	prompt := make([]byte, 0, size)
@@ -287,53 +289,53 @@
 	return nil
 }
 
-// keep writes the turn to a majority. The answer must not end before.
-func (t *turnState) keep(ctx context.Context, out *stream) error {
+// store writes the turn to a majority. The response must not end before that.
+func (t *turnState) store(ctx context.Context, response *stream) error {
 	r := t.request
 	if !r.route.Stateful {
 		return nil
 	}
 	turn := &replicav1.Turn{
-		Id: r.envelope.RequestID, Previous: r.envelope.PreviousTurnID, Program: r.program,
-		Input: t.input, Output: out.output, Tenant: r.tenantName(), Regions: r.scope().Regions,
+		Id: r.metadata.RequestID, Previous: r.metadata.PreviousTurnID, Program: r.programKey,
+		Input: t.input, Output: response.output, Tenant: r.tenantName(), Regions: r.scope().Regions,
 	}
-	retention := r.retention().Milliseconds()
+	retention := r.recordRetention().Milliseconds()
 	records := []*replicav1.Record{{Kind: &replicav1.Record_Turn{Turn: turn}, RetentionMs: retention}}
-	for _, before := range r.adopted {
-		records = append(records, &replicav1.Record{Kind: &replicav1.Record_Turn{Turn: before}, RetentionMs: retention})
+	for _, copied := range r.copiedTurns {
+		records = append(records, &replicav1.Record{Kind: &replicav1.Record_Turn{Turn: copied}, RetentionMs: retention})
 	}
 	scope := r.scope()
-	if t.reserved && t.lender == nil && t.settleIn(out) <= 0 && !r.gateway.quorum.StoresTurnsSeparately(scope) {
-		records = append(records, t.settlement(out))
-		t.reserved = false
+	if t.hasReservation && t.loanHolder == nil && t.settlementDelay(response) <= 0 && !r.gateway.quorum.StoresTurnsSeparately(scope) {
+		records = append(records, t.settlementRecord(response))
+		t.hasReservation = false
 	}
 	if err := r.gateway.quorum.AppendTurns(ctx, scope, records...); err != nil {
 		return err
 	}
-	r.note(eventKept, "turn", turn.Id, "previous", turn.Previous, "tokens", t.used(out))
-	r.gateway.chains.add(turn)
+	r.addLogEntry(eventTurnStored, "turn", turn.Id, "previous", turn.Previous, "tokens", t.usedTokens(response))
+	r.gateway.turns.add(turn)
 	return nil
 }
 
-// settle replaces the reservation by what was handed out, a little later.
-func (t *turnState) settle(out *stream) {
-	if !t.reserved {
+// settle replaces the reservation by the tokens actually used, after settlementDelay.
+func (t *turnState) settle(response *stream) {
+	if !t.hasReservation {
 		return
 	}
-	t.reserved = false
-	record, wait, client := t.settlement(out), t.settleIn(out), t.request.gateway.quorum
-	// Without the settlement the reservation stands, which only costs budget.
-	if t.lender != nil {
+	t.hasReservation = false
+	record, wait, client := t.settlementRecord(response), t.settlementDelay(response), t.request.gateway.quorum
+	// Without a settlement the reservation remains active, which only costs budget.
+	if t.loanHolder != nil {
 		settle := client.SettleDraw
-		if t.tight {
+		if t.budgetTight {
 			settle = client.SettleDrawNow
 		}
-		settle(t.lender, record)
-		t.lender = nil
+		settle(t.loanHolder, record)
+		t.loanHolder = nil
 		return
 	}
 	write := client.AppendDeferred
-	if t.tight {
+	if t.budgetTight {
 		write = client.AppendInBackground
 	}
 	if wait == 0 {
@@ -343,38 +345,38 @@
 	time.AfterFunc(wait, func() { write(record) })
 }
 
-// settleIn returns how long the settlement must wait: what a turn has used may
-// not be told sooner than quorum.SettleDelay after the grant, which reservations
-// in one round rest on.
-func (t *turnState) settleIn(out *stream) time.Duration {
-	if t.granted.IsZero() || t.used(out) == 0 {
+// settlementDelay returns how long the settlement has to wait. A turn's usage must not be
+// reported earlier than quorum.SettleDelay after its grant; reservations granted in one round
+// rely on that.
+func (t *turnState) settlementDelay(response *stream) time.Duration {
+	if t.grantedAt.IsZero() || t.usedTokens(response) == 0 {
 		return 0
 	}
-	return max(0, quorum.SettleDelay-time.Since(t.granted))
+	return max(0, quorum.SettleDelay-time.Since(t.grantedAt))
 }
 
-// used returns the tokens that were handed out.
-func (t *turnState) used(out *stream) int64 {
+// usedTokens returns the number of tokens sent to the client.
+func (t *turnState) usedTokens(response *stream) int64 {
 	if engine := t.request.service.Engine; engine != nil && engine.Stride > 0 {
-		return out.events * engine.Stride
+		return response.eventCount * engine.Stride
 	}
-	return out.events
+	return response.eventCount
 }
 
-func (t *turnState) settlement(out *stream) *replicav1.Record {
+func (t *turnState) settlementRecord(response *stream) *replicav1.Record {
 	r := t.request
 	settlement := &replicav1.Settlement{
-		Id: t.reservation, Program: r.program, Used: t.used(out),
+		Id: t.reservationID, Program: r.programKey, Used: t.usedTokens(response),
 	}
 	return &replicav1.Record{
 		Kind:        &replicav1.Record_Settlement{Settlement: settlement},
-		RetentionMs: r.retention().Milliseconds(),
+		RetentionMs: r.recordRetention().Milliseconds(),
 	}
 }
 
-func (r *request) retention() time.Duration {
+func (r *request) recordRetention() time.Duration {
 	if r.route.Retention > 0 {
 		return r.route.Retention
 	}
-	return defaultRetention
+	return defaultRecordRetention
 }
--- a/internal/gateway/turns_test.go
+++ b/internal/gateway/turns_test.go
@@ -14,81 +14,82 @@
 
 func TestSettlementDelay(t *testing.T) {
 	turn := &turnState{request: &request{}}
-	used, unused := &stream{events: 3}, &stream{}
-	require.Zero(t, turn.settleIn(used), "a reservation that was not granted ran nothing")
-	turn.granted = time.Now()
-	require.Zero(t, turn.settleIn(unused))
-	require.Greater(t, turn.settleIn(used), quorum.SettleDelay/2)
-	turn.granted = time.Now().Add(-quorum.SettleDelay)
-	require.Zero(t, turn.settleIn(used))
+	used, unused := &stream{eventCount: 3}, &stream{}
+	require.Zero(t, turn.settlementDelay(used), "a turn without a granted reservation has not run")
+	turn.grantedAt = time.Now()
+	require.Zero(t, turn.settlementDelay(unused))
+	require.Greater(t, turn.settlementDelay(used), quorum.SettleDelay/2)
+	turn.grantedAt = time.Now().Add(-quorum.SettleDelay)
+	require.Zero(t, turn.settlementDelay(used))
 }
 
 func TestRequestWaitsForFirstWorkers(t *testing.T) {
-	r := requestOf(&Gateway{directory: directory.NewState(time.Now, nil), started: time.Now()})
-	held := make(chan struct{})
+	r := newRequest(&Gateway{directory: directory.NewState(time.Now, nil), startedAt: time.Now()})
+	done := make(chan struct{})
 	go func() {
 		r.awaitWorkers(t.Context())
-		close(held)
+		close(done)
 	}()
 	select {
-	case <-held:
-		t.Fatal("not held")
+	case <-done:
+		t.Fatal("the request did not wait")
 	case <-time.After(20 * time.Millisecond):
 	}
 	r.gateway.directory.ReplaceWorkers([]directory.Worker{{ID: "w", Instance: "w", Service: "s"}}, 1)
-	<-held
-	require.Positive(t, r.held[heldForWorkers])
+	<-done
+	require.Positive(t, r.waitTimes[waitForWorkers])
 	r.awaitWorkers(t.Context())
 }
 
-// requestOf returns a request that a gateway has just received.
-func requestOf(g *Gateway) *request {
-	return &request{gateway: g, received: time.Now(), tried: make(map[string]bool), ran: make(map[string]bool)}
+// newRequest returns a request that a gateway has just received.
+func newRequest(g *Gateway) *request {
+	return &request{gateway: g, receivedAt: time.Now(), tried: make(map[string]bool), mayHaveRun: make(map[string]bool)}
 }
 
-// TestRequestDoesNotWaitForWorkersLongAfterStart brings requests to a gateway that has
-// learned of no worker long after its start.
+// TestRequestDoesNotWaitForWorkersLongAfterStart uses a gateway that still knows no workers
+// long after its start.
 func TestRequestDoesNotWaitForWorkersLongAfterStart(t *testing.T) {
-	r := requestOf(&Gateway{directory: directory.NewState(time.Now, nil), started: time.Now().Add(-time.Minute)})
-	began := time.Now()
+	r := newRequest(&Gateway{directory: directory.NewState(time.Now, nil), startedAt: time.Now().Add(-time.Minute)})
+	start := time.Now()
 	r.awaitWorkers(t.Context())
-	require.Less(t, time.Since(began), workersWait/2)
+	require.Less(t, time.Since(start), maxWorkersWait/2)
 }
 
-// TestIsolatedGatewayRefusesTurnsAtOnce: another gateway may reach them.
+// TestIsolatedGatewayRefusesTurnsAtOnce verifies the immediate refusal, as another gateway may
+// reach the replicas.
 func TestIsolatedGatewayRefusesTurnsAtOnce(t *testing.T) {
-	known := directory.NewState(time.Now, nil)
+	state := directory.NewState(time.Now, nil)
 	g := &Gateway{
-		directory: known, quorum: quorum.NewClient(known, "", http.DefaultClient), spent: newSpentTokens(time.Now), fastest: newFastestAnswers(),
-		state: &stateHealth{alone: true},
+		directory: state, quorum: quorum.NewClient(state, "", http.DefaultClient), spentTokens: newSpentTokens(time.Now), fastestResponses: newFastestResponses(),
+		replicaHealth: &replicaHealth{isolatedNow: true},
 	}
-	r := requestOfKind(g, 0, time.Minute)
+	r := requestWithPriority(g, 0, time.Minute)
 	r.route.Stateful = true
-	began := time.Now()
+	start := time.Now()
 	_, err := r.beginTurn(t.Context())
 	var refused *Isolated
 	require.ErrorAs(t, err, &refused)
-	require.Less(t, time.Since(began), comeBackAfter)
+	require.Less(t, time.Since(start), defaultRetryAfter)
 }
 
 func TestUndeclaredRoutesAndServicesAreRemoved(t *testing.T) {
 	g := gatewayWithSlotQueues()
-	g.fastest.of(routeOfService{route: "gone"}).Observe(time.Second)
-	kept := g.fastest.of(routeOfService{route: "kept"})
-	waits := g.slotQueues.of("waits").join(0, time.Now().Add(time.Minute))
-	none := func(string) bool { return false }
-	g.fastest.forget(func(route string) bool { return route == "kept" })
-	g.slotQueues.forget(none)
-	require.Same(t, kept, g.fastest.of(routeOfService{route: "kept"}))
-	require.Equal(t, 1, g.slotQueues.waiting(), "something waits for it")
-	waits.end(false)
-	g.slotQueues.forget(none)
-	require.NotSame(t, waits.queue, g.slotQueues.of("waits"))
+	g.fastestResponses.getOrCreate(routeAndService{route: "gone"}).Observe(time.Second)
+	kept := g.fastestResponses.getOrCreate(routeAndService{route: "kept"})
+	ticket := g.slotQueues.getOrCreate("waits").enqueue(0, time.Now().Add(time.Minute))
+	nothingDeclared := func(string) bool { return false }
+	g.fastestResponses.removeUndeclared(func(route string) bool { return route == "kept" })
+	g.slotQueues.removeUndeclared(nothingDeclared)
+	require.Same(t, kept, g.fastestResponses.getOrCreate(routeAndService{route: "kept"}))
+	require.Equal(t, 1, g.slotQueues.waitingCount(), "a queue with a waiting request is kept")
+	ticket.remove(false)
+	g.slotQueues.removeUndeclared(nothingDeclared)
+	require.NotSame(t, ticket.queue, g.slotQueues.getOrCreate("waits"))
 }
 
 func TestCancelledRequestDoesNotWait(t *testing.T) {
-	r := requestOf(&Gateway{directory: directory.NewState(time.Now, nil), started: time.Now()})
-	left, leave := context.WithCancel(t.Context())
-	leave()
-	r.awaitWorkers(left)
+	r := newRequest(&Gateway{directory: directory.NewState(time.Now, nil), startedAt: time.Now()})
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	r.awaitWorkers(ctx)
 }
