--- a/internal/replica/address_test.go
+++ b/internal/replica/address_test.go
@@ -12,25 +12,24 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1/replicav1connect"
 )
 
-// TestAnswerFromAnotherNodeAtSameAddressIsIgnored: the seat of a machine that was gone
-// would stay with it for as long as its successor answers at its address.
+// A replaced machine would keep its seat for as long as another node answers at its address.
 func TestAnswerFromAnotherNodeAtSameAddressIsIgnored(t *testing.T) {
-	answering, group, _ := copier(t, 3)
+	responder, group, _ := newCopyingReplica(t, 3)
 	_, handler := replicav1connect.NewReplicaServiceHandler(&service{
-		node: "successor", state: answering.state, directory: answering.directory, peers: newFailureDetector(answering.peers.now),
+		node: "successor", state: responder.state, directory: responder.directory, peers: newFailureDetector(responder.peers.now),
 	})
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	asking, _, _ := copier(t, 3)
+	caller, _, _ := newCopyingReplica(t, 3)
 	at := strings.TrimPrefix(server.URL, "http://")
-	message := announcementOf(asking.state, group, "n2")
-	asking.announceTo(t.Context(), &replicav1.Member{Node: "gone", Address: at}, message)
-	require.False(t, asking.peers.healthy("gone"))
-	asking.announceTo(t.Context(), &replicav1.Member{Node: "successor", Address: at}, message)
-	require.True(t, asking.peers.healthy("successor"))
+	message := newAnnouncement(caller.state, group, "n2")
+	caller.announceTo(t.Context(), &replicav1.Member{Node: "gone", Address: at}, message)
+	require.False(t, caller.peers.isHealthy("gone"))
+	caller.announceTo(t.Context(), &replicav1.Member{Node: "successor", Address: at}, message)
+	require.True(t, caller.peers.isHealthy("successor"))
 
-	// A node of a release that does not tell its name is believed.
-	response, err := (&service{state: answering.state, directory: answering.directory, peers: newFailureDetector(answering.peers.now)}).Announce(t.Context(), connect.NewRequest(message))
+	// Nodes of earlier releases do not send their name. Their answers are accepted.
+	response, err := (&service{state: responder.state, directory: responder.directory, peers: newFailureDetector(responder.peers.now)}).Announce(t.Context(), connect.NewRequest(message))
 	require.NoError(t, err)
 	require.Empty(t, response.Msg.Node)
 }
--- a/internal/replica/bench_test.go
+++ b/internal/replica/bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/barleyshelf/barleyshelf/internal/recordlog"
 )
 
-// turnBytes is about what one turn of the users' programs keeps.
-const turnBytes = 6 << 10
+// benchTurnBytes is the approximate size of one stored turn of the users' programs.
+const benchTurnBytes = 6 << 10
 
 func benchService(b *testing.B) *service {
 	opened, err := openState(recordlog.Directory(b.TempDir()))
@@ -27,31 +27,31 @@
 	return &service{state: opened, directory: directory.NewState(time.Now, nil), peers: newFailureDetector(time.Now)}
 }
 
-func keptTurn(n int) *replicav1.Record {
-	turn := &replicav1.Turn{Id: fmt.Sprintf("t%d", n), Input: make([]byte, turnBytes)}
+func turnRecord(n int) *replicav1.Record {
+	turn := &replicav1.Turn{Id: fmt.Sprintf("t%d", n), Input: make([]byte, benchTurnBytes)}
 	return &replicav1.Record{Kind: &replicav1.Record_Turn{Turn: turn}, RetentionMs: 60_000}
 }
 
-// BenchmarkCommit stores one turn with a sync of its own.
+// BenchmarkCommit stores one turn with its own fsync.
 func BenchmarkCommit(b *testing.B) {
 	replica := benchService(b)
 	n := 0
 	for b.Loop() {
 		n++
-		request := &replicav1.AppendRequest{Epoch: 1, Records: []*replicav1.Record{keptTurn(n)}}
+		request := &replicav1.AppendRequest{Epoch: 1, Records: []*replicav1.Record{turnRecord(n)}}
 		if _, err := replica.Append(context.Background(), connect.NewRequest(request)); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkRecovery copies a minute of turns at 65 a second from one replica to
-// an empty one, without the network.
+// BenchmarkRecovery copies a minute of turns, at 65 a second, from one replica to an empty one,
+// without the network.
 func BenchmarkRecovery(b *testing.B) {
 	const turns = 60 * 65
 	from := benchService(b)
 	for n := range turns {
-		require.NoError(b, from.state.write(keptTurn(n)))
+		require.NoError(b, from.state.write(turnRecord(n)))
 	}
 	for b.Loop() {
 		to := benchService(b)
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkMemoryOfATurn reports the heap that one kept turn takes.
+// BenchmarkMemoryOfATurn reports the heap memory used by one stored turn.
 func BenchmarkMemoryOfATurn(b *testing.B) {
 	const turns = 10_000
 	for b.Loop() {
@@ -74,7 +74,7 @@
 		for n := 0; n < turns; n += 100 {
 			var records []*replicav1.Record
 			for i := range 100 {
-				records = append(records, keptTurn(n+i))
+				records = append(records, turnRecord(n+i))
 			}
 			require.NoError(b, replica.state.write(records...))
 		}
--- a/internal/replica/compact_test.go
+++ b/internal/replica/compact_test.go
@@ -11,13 +11,13 @@
 	"github.com/barleyshelf/barleyshelf/internal/recordlog/recordlogtest"
 )
 
-// TestCompactionKeepsLiveRecords writes much that expires, and
-// compares the state before and after a compaction and a restart.
+// Writes many records that expire, and compares the state before and after a compaction and a
+// restart.
 func TestCompactionKeepsLiveRecords(t *testing.T) {
 	disk := recordlogtest.NewDisk()
 	opened, err := openState(disk)
 	require.NoError(t, err)
-	opened.compactFrom = 1
+	opened.minCompactBytes = 1
 	identity := &replicav1.Identity{Seat: 1, Incarnation: 7, Recovered: true, Claim: 2}
 	group := &replicav1.Group{Epoch: 4, Members: []*replicav1.Member{{Seat: 1, Node: "a", Claim: 2}}}
 	workers := &replicav1.WorkerList{Revision: 9, Workers: []*replicav1.Worker{{Id: "i-1"}}}
@@ -39,22 +39,22 @@
 	require.Less(t, opened.log.Size(), before/10)
 	opened.log.Close()
 
-	again, err := openState(disk)
+	reopened, err := openState(disk)
 	require.NoError(t, err)
-	defer again.log.Close()
-	turns, err := again.chain(0, "t0")
+	defer reopened.log.Close()
+	turns, err := reopened.turnChain(0, "t0")
 	require.NoError(t, err)
 	require.Len(t, turns, 1)
-	require.Len(t, turns[0].Input, 500, "the whole turn is there")
-	turns, err = again.chain(0, "t1")
+	require.Len(t, turns[0].Input, 500, "the turn is complete")
+	turns, err = reopened.turnChain(0, "t1")
 	require.NoError(t, err)
 	require.Empty(t, turns)
-	require.Equal(t, uint64(7), again.partition(0).identity.Incarnation)
-	require.True(t, again.partition(0).identity.Recovered)
-	require.Equal(t, uint64(4), again.partition(0).group.Epoch)
-	require.Equal(t, uint64(33), again.partition(0).seen[2])
-	require.Equal(t, uint64(5), again.configuration.Version)
-	require.Equal(t, int64(9), again.workers.revision)
-	require.Equal(t, int64(12), again.drainedZones.Revision)
-	require.Equal(t, []string{"z"}, again.drainedZones.Zones)
+	require.Equal(t, uint64(7), reopened.partition(0).identity.Incarnation)
+	require.True(t, reopened.partition(0).identity.Recovered)
+	require.Equal(t, uint64(4), reopened.partition(0).group.Epoch)
+	require.Equal(t, uint64(33), reopened.partition(0).seenIncarnations[2])
+	require.Equal(t, uint64(5), reopened.configuration.Version)
+	require.Equal(t, int64(9), reopened.workers.revision)
+	require.Equal(t, int64(12), reopened.drainedZones.Revision)
+	require.Equal(t, []string{"z"}, reopened.drainedZones.Zones)
 }
--- a/internal/replica/compaction.go
+++ b/internal/replica/compaction.go
@@ -9,17 +9,17 @@
 	"github.com/barleyshelf/barleyshelf/internal/recordlog"
 )
 
-// compact drops what has expired. While the log holds much more than what is
-// live, it writes what is live in its oldest segment anew.
+// compact drops expired records. While the log is much larger than the live records, it rewrites
+// the live records of the oldest segment.
 func (s *state) compact(now time.Time) error {
 	s.mutex.Lock()
-	for _, each := range s.partitions {
-		each.store.Expire(now)
+	for _, partition := range s.partitions {
+		partition.store.Expire(now)
 	}
 	s.mutex.Unlock()
-	for range maxCompacted {
+	for range maxSegmentsPerCompaction {
 		size, live := s.log.Size(), s.liveBytes()
-		if size < s.compactFrom || size < compactFactor*live {
+		if size < s.minCompactBytes || size < maxLogToLiveRatio*live {
 			return nil
 		}
 		if err := s.compactSegment(s.log.OldestSegment()); err != nil {
@@ -29,26 +29,26 @@
 	return nil
 }
 
-// liveBytes returns the size of the records of all partitions.
+// liveBytes returns the size of the live records of all partitions.
 func (s *state) liveBytes() (live int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, each := range s.partitions {
-		live += each.store.Bytes()
+	for _, partition := range s.partitions {
+		live += partition.store.Bytes()
 	}
 	return live
 }
 
-// compactSegment writes what is live in a segment, and everything that is not
-// a store's, to the end of the log, and gives the segment's space back.
+// compactSegment writes the live records of a segment, and all records outside the turn stores, to
+// the end of the log and then deletes the segment.
 func (s *state) compactSegment(segment uint64) error {
 	var places []recordlog.Position
-	var written []placedRecord
+	var refs []recordRef
 	s.mutex.Lock()
-	for partition, each := range s.partitions {
-		for _, live := range each.store.In(segment) {
-			places = append(places, live.Place)
-			written = append(written, placedRecord{partition: partition, position: live.Position()})
+	for number, partition := range s.partitions {
+		for _, stored := range partition.store.In(segment) {
+			places = append(places, stored.Place)
+			refs = append(refs, recordRef{partition: number, position: stored.Position()})
 		}
 	}
 	s.mutex.Unlock()
@@ -57,16 +57,16 @@
 		return err
 	}
 	s.mutex.Lock()
-	for _, record := range s.ownRecords() {
+	for _, record := range s.metadataRecords() {
 		data, err := proto.Marshal(record)
 		if err != nil {
 			s.mutex.Unlock()
 			return &failure.Internal{Cause: err}
 		}
 		encoded = append(encoded, data)
-		written = append(written, placedRecord{position: noPosition})
+		refs = append(refs, recordRef{position: noPosition})
 	}
-	wait := s.log.ReplaceSegment(segment, s.placed(written), encoded...)
+	wait := s.log.ReplaceSegment(segment, s.placeRecorder(refs), encoded...)
 	s.mutex.Unlock()
 	return wait()
 }
--- a/internal/replica/departure.go
+++ b/internal/replica/departure.go
@@ -7,70 +7,73 @@
 	"github.com/barleyshelf/barleyshelf/internal/quorum"
 )
 
-// departureReason is why a member is to leave its group. A lower one goes first: a member that
-// does not answer leaves its group with one loss less to bear, and one that works can wait.
+// departureReason is the reason why a member has to leave its group. Lower values are handled
+// first: with an unresponsive member the group tolerates one loss less, while a healthy member can
+// wait.
 type departureReason int
 
 const (
-	// memberFailed has been silent for so long that it may lose its seat without a successor.
+	// memberFailed is a member without contact for so long that it may be removed without a
+	// successor.
 	memberFailed departureReason = iota
-	// memberSuspect has been silent for so long that its seat may be passed on.
+	// memberSuspect is a member without contact for so long that a standby may replace it.
 	memberSuspect
-	// memberRetiring is to be emptied by an operator's order.
+	// memberRetiring is a member that an operator retires.
 	memberRetiring
-	// memberStopping has said that its process is to end.
+	// memberStopping is a member that has announced the end of its process.
 	memberStopping
-	// memberSurplus is one more than a group may have: whom it was to replace has stayed.
+	// memberSurplus is a member beyond the permitted number: the member that it was to replace has
+	// stayed.
 	memberSurplus
-	departureReasons
+	departureReasonCount
 )
 
-// changeReason is why a next group is proposed, in logs.
+// changeReason is the logged reason of a proposed group.
 type changeReason string
 
 const (
-	changeReceived changeReason = "a member has received what its seat held"
-	changeOther    changeReason = "no member leaves"
+	changeTransferComplete changeReason = "a seat transfer is complete"
+	changeOther            changeReason = "no member leaves"
 )
 
-// changeReasons are the reasons of departures.
-var changeReasons = [departureReasons]changeReason{
-	memberFailed: "a member has failed", memberSuspect: "a member is silent", memberRetiring: "a member retires", memberStopping: "a member stops",
-	memberSurplus: "the group has more members than it may have",
+// departureChangeReasons maps departure reasons to their logged texts.
+var departureChangeReasons = [departureReasonCount]changeReason{
+	memberFailed: "a member has failed", memberSuspect: "a member does not respond", memberRetiring: "a member is retiring", memberStopping: "a member is stopping",
+	memberSurplus: "the group has a surplus member",
 }
 
-// reasonFor returns why a group that follows from what is seen is proposed.
-func reasonFor(seen observation) changeReason {
-	if receivedNext(seen) != nil {
-		return changeReceived
+// changeReasonFor returns the reason of the group that nextGroup returns for a status.
+func changeReasonFor(status groupStatus) changeReason {
+	if nextCompletedTransfer(status) != nil {
+		return changeTransferComplete
 	}
-	if leaving := nextDeparture(seen); leaving != nil {
-		return changeReasons[leaving.reason]
+	if leaving := nextDeparture(status); leaving != nil {
+		return departureChangeReasons[leaving.reason]
 	}
 	return changeOther
 }
 
-// departure is the member that leaves a group next, and why.
+// departure is the member that leaves a group next, and the reason.
 type departure struct {
 	member *replicav1.Member
 	reason departureReason
 }
 
-// concerns reports whether a member is the one that leaves. None leaves where the departure is nil.
-func (d *departure) concerns(member *replicav1.Member) bool {
+// isFor reports whether a member is the one that leaves. It is false for a nil departure.
+func (d *departure) isFor(member *replicav1.Member) bool {
 	return d != nil && d.member.Seat == member.Seat
 }
 
-// isSilent reports whether a member leaves because it does not answer.
-func (d *departure) isSilent() bool {
+// isUnresponsive reports whether the member leaves because it does not respond.
+func (d *departure) isUnresponsive() bool {
 	return d != nil && (d.reason == memberFailed || d.reason == memberSuspect)
 }
 
-// nextDeparture returns which member leaves a group next, or nil.
-func nextDeparture(seen observation) *departure {
-	for reason := range departureReasons {
-		for _, member := range seen.group.Members {
-			if seen.leavesFor(reason, member.Node) {
+// nextDeparture returns the next member that has to leave a group, or nil.
+func nextDeparture(status groupStatus) *departure {
+	for reason := range departureReasonCount {
+		for _, member := range status.group.Members {
+			if status.mustLeave(reason, member.Node) {
 				return &departure{member: member, reason: reason}
 			}
 		}
@@ -78,122 +81,130 @@
 	return nil
 }
 
-// leavesFor reports whether a node is to give its seat up for a reason.
-func (o *observation) leavesFor(reason departureReason, node string) bool {
+// mustLeave reports whether a node has to give up its seat for a reason.
+func (s *groupStatus) mustLeave(reason departureReason, node string) bool {
 	switch reason {
 	case memberFailed:
-		return o.failed != nil && o.failed(node)
+		return s.hasFailed != nil && s.hasFailed(node)
 	case memberSuspect:
-		return !o.healthy(node) && !o.stops(node)
+		return !s.isHealthy(node) && !s.isStopping(node)
 	case memberRetiring:
-		return o.retiring[node]
+		return s.retiring[node]
 	case memberStopping:
-		return o.stops(node)
+		return s.isStopping(node)
 	case memberSurplus:
-		members := o.group.Members
-		return o.hasTooMany() && members[len(members)-1].Node == node
+		members := s.group.Members
+		return s.hasSurplusMembers() && members[len(members)-1].Node == node
 	}
 	return false
 }
 
-// hasTooMany reports whether a group has more members than it may have: they came beside one that was to
-// leave, and has stayed.
-func (o *observation) hasTooMany() bool {
-	count := len(o.group.Members)
-	return count > maxSeats || count > wantedSeats(o.group) && !bearsLostZones(zonesOf(o.group), o.zonesBorne)
+// hasSurplusMembers reports whether a group has more members than permitted. They were added to
+// replace a member that has stayed.
+func (s *groupStatus) hasSurplusMembers() bool {
+	count := len(s.group.Members)
+	return count > maxSeats || count > desiredSeats(s.group) && !toleratesZoneFailures(memberZones(s.group), s.toleratedZoneFailures)
 }
 
-// stops reports whether a node has said that its process is to end.
-func (o *observation) stops(node string) bool { return o.stopping != nil && o.stopping(node) }
+// isStopping reports whether a node has announced the end of its process.
+func (s *groupStatus) isStopping(node string) bool {
+	return s.reportsStopping != nil && s.reportsStopping(node)
+}
 
-// othersSettled reports whether the members that stay hold everything, and are enough. One that
-// has failed too is not waited for: its turn comes.
-func othersSettled(seen observation, leaving *departure) bool {
-	settled := 0
-	for _, member := range seen.group.Members {
+// remainingInSync reports whether the members that remain are in sync and are enough for a change.
+// A second failed member is not waited for, because it is handled by a later change.
+func remainingInSync(status groupStatus, leaving *departure) bool {
+	inSync := 0
+	for _, member := range status.group.Members {
 		switch {
-		case seen.settled(member.Node):
-			settled++
-		case !leaving.concerns(member) && !seen.leavesFor(memberFailed, member.Node):
+		case status.isInSync(member.Node):
+			inSync++
+		case !leaving.isFor(member) && !status.mustLeave(memberFailed, member.Node):
 			return false
 		}
 	}
-	return settled >= changeSize(seen, leaving)
+	return inSync >= changeQuorum(status, leaving)
 }
 
-// changeSize is how many members must be settled for a change of their group. Of two members
-// each holds every record that counts, and no write succeeds without it, so that one is enough
-// once the other has failed; while the removal of a third is not complete, that does not hold.
-func changeSize(seen observation, leaving *departure) int {
-	voters := quorum.VoterCount(seen.group)
-	if voters == 2 && leaving != nil && leaving.reason == memberFailed && seen.group.Removed == nil {
+// changeQuorum returns how many members must be in sync for a change of their group. In a group of
+// two each member holds every acknowledged record and no write succeeds without it, so one member
+// is enough if the other has failed. That does not hold while the removal of a third member is
+// incomplete.
+func changeQuorum(status groupStatus, leaving *departure) int {
+	voters := quorum.VoterCount(status.group)
+	if voters == 2 && leaving != nil && leaving.reason == memberFailed && status.group.Removed == nil {
 		return 1
 	}
 	return quorum.WriteQuorum(voters)
 }
 
-// mayBeRemoved reports whether a member may lose its seat without a successor. One that has failed
-// would keep its vote: with the next lost disk no majority could be made up. One that is only silent, or
-// to stop, may come back, and goes only if enough stay without it. One that retires
-// leaves the others what it holds, once no node can take a seat beside it. Two must stay, which hold
-// together what counts: an order may not leave everything on one disk.
-func mayBeRemoved(seen observation, leaving departure, mayGrow bool) bool {
-	enoughStay := staying(seen.group, &leaving) >= wantedSeats(seen.group)
+// canRemove reports whether a member may be removed without a successor.
+//
+// A failed member would otherwise keep its vote, and after the next disk loss no majority could be
+// formed. A suspect or stopping member may come back: a suspect one is removed only if enough
+// members remain, a stopping one never. A retiring member is removed if enough members remain, or
+// if the group cannot grow and the member is in sync, because it then hands its records to the
+// others. Two voting members, which together hold all acknowledged records, must remain: an
+// operator's order must not leave all records on one disk.
+func canRemove(status groupStatus, leaving departure, canGrow bool) bool {
+	enoughRemain := remainingMemberCount(status.group, &leaving) >= desiredSeats(status.group)
 	switch leaving.reason {
 	case memberFailed, memberSurplus:
 	case memberSuspect:
-		if !enoughStay {
+		if !enoughRemain {
 			return false
 		}
 	case memberRetiring:
-		if !enoughStay && (mayGrow || !seen.settled(leaving.member.Node)) {
+		if !enoughRemain && (canGrow || !status.isInSync(leaving.member.Node)) {
 			return false
 		}
 	default:
 		return false
 	}
-	return quorum.IsJoining(leaving.member) || quorum.VoterCount(seen.group) > 2
+	return quorum.IsJoining(leaving.member) || quorum.VoterCount(status.group) > 2
 }
 
-// mayBeReinstated reports whether the member that was removed last is to have its seat back for one
-// that failed before the removal was complete. What counted before the removal lies with two of
-// the three, and what has counted since with both that stayed, so that the one that is left and
-// the one that comes back hold it together; for a larger group that does not hold.
-func mayBeReinstated(seen observation, leaving *departure) bool {
-	if seen.group.Removed == nil || !seen.removedHolds || leaving == nil || leaving.reason != memberFailed {
+// canReinstate reports whether the most recently removed member may get its seat back in place of a
+// member that failed before the removal was complete. Of three members, two hold each record
+// acknowledged before the removal, and both remaining ones hold each record acknowledged since. The
+// remaining member and the reinstated one therefore hold all records together. For larger groups
+// that does not hold.
+func canReinstate(status groupStatus, leaving *departure) bool {
+	if status.group.Removed == nil || !status.removedMemberHoldsRecords || leaving == nil || leaving.reason != memberFailed {
 		return false
 	}
-	for _, member := range seen.group.Members {
-		if !leaving.concerns(member) && !seen.settled(member.Node) {
+	for _, member := range status.group.Members {
+		if !leaving.isFor(member) && !status.isInSync(member.Node) {
 			return false
 		}
 	}
-	return len(seen.group.Members) == 2 && quorum.VoterCount(seen.group) == 2
+	return len(status.group.Members) == 2 && quorum.VoterCount(status.group) == 2
 }
 
-// reinstate returns the group in which the member that was removed last has its seat again, and a
-// failed one is removed instead.
-func reinstate(seen observation, failed *replicav1.Member) *replicav1.Group {
-	next := proto.CloneOf(seen.group)
+// groupWithReinstatedMember returns the group in which the most recently removed member has its
+// recovery again and a failed member is removed instead.
+func groupWithReinstatedMember(status groupStatus, failed *replicav1.Member) *replicav1.Group {
+	next := proto.CloneOf(status.group)
 	next.Epoch++
 	removeSeat(next, failed.Seat)
-	back := next.Removed
-	for _, node := range seen.nodes {
-		if node.Node == back.Node {
-			back.Address, back.Zone = node.Address, node.Zone
+	reinstated := next.Removed
+	for _, node := range status.nodes {
+		if node.Node == reinstated.Node {
+			reinstated.Address, reinstated.Zone = node.Address, node.Zone
 		}
 	}
-	next.Members = append(next.Members, back)
-	next.Removed = lastHolder(failed)
+	next.Members = append(next.Members, reinstated)
+	next.Removed = recordHolder(failed)
 	return next
 }
 
-// handsOver returns the member that works and leaves fewer members with the next group than are wanted,
-// or nil. It proposes that group alone, once each member that stays has taken what it holds: one that
-// has just failed without anybody knowing would leave the group without a majority.
-func handsOver(seen observation, next *replicav1.Group) *replicav1.Member {
-	leaving := nextDeparture(seen)
-	if leaving == nil || leaving.reason != memberRetiring || len(next.Members) >= min(len(seen.group.Members), wantedSeats(seen.group)) {
+// selfRemovingMember returns the healthy retiring member whose departure leaves the next group with
+// fewer members than desired, or nil. Only that member may propose the group, after it has pushed
+// its records to each remaining member. Otherwise an undetected failure of another member would
+// leave the group without a majority.
+func selfRemovingMember(status groupStatus, next *replicav1.Group) *replicav1.Member {
+	leaving := nextDeparture(status)
+	if leaving == nil || leaving.reason != memberRetiring || len(next.Members) >= min(len(status.group.Members), desiredSeats(status.group)) {
 		return nil
 	}
 	return leaving.member
--- a/internal/replica/departure_test.go
+++ b/internal/replica/departure_test.go
@@ -8,149 +8,152 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-// give adds a reason for a node to leave its group to what is seen.
-func give(seen *observation, reason departureReason, node string) {
-	healthy, settled, failed := seen.healthy, seen.settled, seen.failed
+// addDepartureReason changes a status so that a node has a reason to leave its group.
+func addDepartureReason(status *groupStatus, reason departureReason, node string) {
+	isHealthy, isInSync, hasFailed := status.isHealthy, status.isInSync, status.hasFailed
 	switch reason {
 	case memberFailed, memberSuspect:
-		seen.healthy = func(each string) bool { return each != node && healthy(each) }
-		seen.settled = func(each string) bool { return each != node && settled(each) }
-		seen.failed = func(each string) bool {
-			return reason == memberFailed && each == node || failed != nil && failed(each)
+		status.isHealthy = func(other string) bool { return other != node && isHealthy(other) }
+		status.isInSync = func(other string) bool { return other != node && isInSync(other) }
+		status.hasFailed = func(other string) bool {
+			return reason == memberFailed && other == node || hasFailed != nil && hasFailed(other)
 		}
 	case memberRetiring:
-		seen.retiring[node] = true
+		status.retiring[node] = true
 	case memberStopping:
-		seen.stopping = only(node)
+		status.reportsStopping = onlyNode(node)
 	}
 }
 
-// Of two members with a reason to leave, the one that works must not stand in the way of the other.
+// If two members have a reason to leave, the healthy one must not delay the other.
 func TestUnresponsiveMemberLeavesBeforeHealthyOne(t *testing.T) {
 	for first := range memberSurplus {
 		for second := range memberSurplus {
 			for _, names := range [][2]string{{"a", "b"}, {"b", "a"}} {
 				if first == second || first == memberFailed && second == memberSuspect || first == memberSuspect && second == memberFailed {
-					// Two that do not answer leave one of three.
+					// Two unresponsive members leave one of three.
 					continue
 				}
-				seen := seenAll(oneGroup(nodes("a", "b", "c")), nodes("a", "b", "c", "spare"))
-				give(&seen, first, names[0])
-				give(&seen, second, names[1])
+				status := statusAllInSync(singlePartitionGroup(nodes("a", "b", "c")), nodes("a", "b", "c", "spare"))
+				addDepartureReason(&status, first, names[0])
+				addDepartureReason(&status, second, names[1])
 				leaving := names[0]
 				if second < first {
 					leaving = names[1]
 				}
-				next := nextGroup(seen)
+				next := nextGroup(status)
 				require.NotNil(t, next, "%d of %s, %d of %s", first, names[0], second, names[1])
-				require.Equal(t, leaving, nextDeparture(seen).member.Node)
-				require.NotNil(t, seatOf(next, "spare"))
+				require.Equal(t, leaving, nextDeparture(status).member.Node)
+				require.NotNil(t, memberForNode(next, "spare"))
 				if min(first, second) < memberRetiring {
-					require.Nil(t, seatOf(next, leaving))
+					require.Nil(t, memberForNode(next, leaving))
 					continue
 				}
-				require.NotNil(t, seatOf(next, leaving), "one that works keeps its vote")
-				seen.group = allReceived(next)
-				require.Nil(t, seatOf(nextGroup(seen), leaving), "until the other one has its own")
+				require.NotNil(t, memberForNode(next, leaving), "a healthy member keeps its vote")
+				status.group = completeTransfers(next)
+				require.Nil(t, memberForNode(nextGroup(status), leaving), "the member leaves once its replacement can vote")
 			}
 		}
 	}
 }
 
-// One that went for good while another was emptied kept its vote, and the next lost disk ended service.
+// A member that failed during a retirement once kept its vote, and the next lost disk ended
+// service.
 func TestFailedMemberIsRemovedWhileAnotherRetires(t *testing.T) {
-	group := oneGroup(nodes("a", "b", "c"))
+	group := singlePartitionGroup(nodes("a", "b", "c"))
 	for _, retiring := range []string{"a", "c"} {
-		seen := lostMember(group, "b", "a", "b", "c")
-		seen.retiring[retiring] = true
-		next := nextGroup(seen)
+		status := statusWithFailed(group, "b", "a", "b", "c")
+		status.retiring[retiring] = true
+		next := nextGroup(status)
 		require.Equal(t, []string{"a", "c"}, memberNames(next))
-		require.Nil(t, handsOver(seen, next), "any member may propose it")
+		require.Nil(t, selfRemovingMember(status, next), "any member may propose the group")
 		next.Removed = nil
-		require.Nil(t, nextGroup(seenRetiring(next, retiring, "a", "c")), "two stay")
-		grown := nextGroup(seenRetiring(next, retiring, "a", "c", "d"))
-		require.NotNil(t, seatOf(grown, retiring), "it keeps its vote until another one has its own")
-		replaced := nextGroup(seenRetiring(allReceived(grown), retiring, "a", "c", "d"))
-		require.Nil(t, seatOf(replaced, retiring))
-		require.NotNil(t, seatOf(replaced, "d"))
+		require.Nil(t, nextGroup(statusWithRetiring(next, retiring, "a", "c")), "two members remain")
+		grown := nextGroup(statusWithRetiring(next, retiring, "a", "c", "d"))
+		require.NotNil(t, memberForNode(grown, retiring), "it keeps its vote until its replacement can vote")
+		replaced := nextGroup(statusWithRetiring(completeTransfers(grown), retiring, "a", "c", "d"))
+		require.Nil(t, memberForNode(replaced, retiring))
+		require.NotNil(t, memberForNode(replaced, "d"))
 	}
 }
 
-// A machine that went for good while it was emptied was left to remove itself, and kept its vote.
+// A member that failed during its own retirement was once expected to remove itself, and kept its
+// vote.
 func TestFailedRetiringMemberIsRemovedByOthers(t *testing.T) {
-	group := oneGroup(nodes("a", "b", "c"))
-	seen := lostMember(group, "b", "a", "b", "c")
-	seen.retiring["b"] = true
-	next := nextGroup(seen)
+	group := singlePartitionGroup(nodes("a", "b", "c"))
+	status := statusWithFailed(group, "b", "a", "b", "c")
+	status.retiring["b"] = true
+	next := nextGroup(status)
 	require.Equal(t, []string{"a", "c"}, memberNames(next))
 	require.Equal(t, group.Members[1], next.Removed)
-	require.Nil(t, handsOver(seen, next))
+	require.Nil(t, selfRemovingMember(status, next))
 }
 
-// Of a machine that went after it had left its group, and before it was told to have, the others waited for a word.
+// If a machine fails after it has left its group but before it learns so, the others must not wait
+// for it.
 func TestRetiredMemberIsRemovedLikeFailedOne(t *testing.T) {
-	group := oneGroup(nodes("a", "b", "c"))
-	seen := seenRetiring(group, "b", "a", "b", "c")
-	next := nextGroup(seen)
+	group := singlePartitionGroup(nodes("a", "b", "c"))
+	status := statusWithRetiring(group, "b", "a", "b", "c")
+	next := nextGroup(status)
 	require.Equal(t, group.Members[1], next.Removed)
-	require.Equal(t, group.Members[1], handsOver(seen, next))
-	seen = seenRetiring(next, "b", "a", "b", "c")
-	require.Nil(t, nextGroup(seen), "the others exchange what they hold first")
-	seen.exchanged = true
-	complete := nextGroup(seen)
+	require.Equal(t, group.Members[1], selfRemovingMember(status, next))
+	status = statusWithRetiring(next, "b", "a", "b", "c")
+	require.Nil(t, nextGroup(status), "the other members must exchange their records first")
+	status.exchangeComplete = true
+	complete := nextGroup(status)
 	require.Nil(t, complete.Removed)
-	gone := lostMember(complete, "c", "a", "c", "d")
-	gone.retiring["b"] = true
-	require.Equal(t, []string{"a", "d"}, memberNames(nextGroup(gone)))
+	failed := statusWithFailed(complete, "c", "a", "c", "d")
+	failed.retiring["b"] = true
+	require.Equal(t, []string{"a", "d"}, memberNames(nextGroup(failed)))
 }
 
-// The group of two that was left could replace nobody for as long as the removal was under way.
+// The remaining group of two could otherwise replace nobody while the removal is incomplete.
 func TestRemovedMemberIsReinstatedWhenAnotherFails(t *testing.T) {
-	group := oneGroup(nodes("a", "b", "c"))
-	removing := nextGroup(seenRetiring(group, "b", "a", "b", "c"))
-	seen := lostMember(removing, "c", "a", "b", "c")
-	seen.retiring["b"] = true
-	require.Nil(t, nextGroup(seen), "it does not show that it holds anything")
-	seen.removedHolds = true
-	next := nextGroup(seen)
+	group := singlePartitionGroup(nodes("a", "b", "c"))
+	removing := nextGroup(statusWithRetiring(group, "b", "a", "b", "c"))
+	status := statusWithFailed(removing, "c", "a", "b", "c")
+	status.retiring["b"] = true
+	require.Nil(t, nextGroup(status), "it has not reported that it holds the records")
+	status.removedMemberHoldsRecords = true
+	next := nextGroup(status)
 	require.Equal(t, []string{"a", "b"}, memberNames(next))
-	require.Equal(t, group.Members[1], next.Members[1], "it counts as it did before")
+	require.Equal(t, group.Members[1], next.Members[1], "it counts as before its removal")
 	require.Equal(t, group.Members[2], next.Removed)
-	seen.settled = except("a", "c")
-	require.Nil(t, nextGroup(seen), "the one that is left has what counted meanwhile")
+	status.isInSync = allExcept("a", "c")
+	require.Nil(t, nextGroup(status), "the remaining member holds the records acknowledged since")
 }
 
 func TestExchangeContinuesWithoutFailedMember(t *testing.T) {
 	partners := func(members ...string) []string {
-		group := oneGroup(nodes(members...))
-		removing := nextGroup(seenRetiring(group, "a", members...))
-		seen := lostMember(removing, "b", members...)
-		return memberNames(&replicav1.Group{Members: exchangePartners(seen)})
+		group := singlePartitionGroup(nodes(members...))
+		removing := nextGroup(statusWithRetiring(group, "a", members...))
+		status := statusWithFailed(removing, "b", members...)
+		return memberNames(&replicav1.Group{Members: exchangePartners(status)})
 	}
-	require.Empty(t, partners("a", "b", "c"), "what counted may lie with the removed one and the one that failed")
+	require.Empty(t, partners("a", "b", "c"), "acknowledged records may be held only by the removed and the failed member")
 	require.Equal(t, []string{"c", "d"}, partners("a", "b", "c", "d"))
 	require.Equal(t, []string{"c", "d", "e"}, partners("a", "b", "c", "d", "e"))
-	suspect := seenAll(nextGroup(seenRetiring(oneGroup(nodes("a", "b", "c", "d")), "a", "a", "b", "c", "d")), nil)
-	suspect.settled = except("b")
-	require.Empty(t, exchangePartners(suspect), "one that has not failed may have acknowledged what the others lack")
+	suspect := statusAllInSync(nextGroup(statusWithRetiring(singlePartitionGroup(nodes("a", "b", "c", "d")), "a", "a", "b", "c", "d")), nil)
+	suspect.isInSync = allExcept("b")
+	require.Empty(t, exchangePartners(suspect), "a member that has not failed may have acknowledged records that the others lack")
 }
 
 func TestConcurrentRetirementsKeepTwoMembers(t *testing.T) {
-	group := oneGroup(nodes("a", "b", "c"))
-	seen := seenRetiring(group, "a", "a", "b", "c")
-	seen.retiring["b"] = true
-	next := nextGroup(seen)
+	group := singlePartitionGroup(nodes("a", "b", "c"))
+	status := statusWithRetiring(group, "a", "a", "b", "c")
+	status.retiring["b"] = true
+	next := nextGroup(status)
 	require.Equal(t, []string{"b", "c"}, memberNames(next))
 	next.Removed = nil
-	seen.group = next
-	require.Nil(t, nextGroup(seen))
-	withdrawn := seenAll(next, nodes("a", "b", "c"))
-	require.Equal(t, []string{"b", "c", "a"}, memberNames(nextGroup(withdrawn)), "a retirement that is withdrawn gives the seat back")
+	status.group = next
+	require.Nil(t, nextGroup(status))
+	canceled := statusAllInSync(next, nodes("a", "b", "c"))
+	require.Equal(t, []string{"b", "c", "a"}, memberNames(nextGroup(canceled)), "a canceled retirement gives the node a seat again")
 }
 
-// seenRetiring is an observation in which a node is to be emptied and every node is well.
-func seenRetiring(group *replicav1.Group, node string, registered ...string) observation {
-	seen := seenAll(group, nodes(registered...))
-	seen.retiring[node] = true
-	return seen
+// statusWithRetiring returns a status in which one node is retiring and all nodes are in sync.
+func statusWithRetiring(group *replicav1.Group, node string, registered ...string) groupStatus {
+	status := statusAllInSync(group, nodes(registered...))
+	status.retiring[node] = true
+	return status
 }
--- a/internal/replica/discovery.go
+++ b/internal/replica/discovery.go
@@ -12,32 +12,34 @@
 )
 
 const (
-	// discoveryTimeout is how long a replica without records waits for the platform's store to name
-	// its system before it logs that it does not.
+	// discoveryTimeout is how long a replica without records waits for the platform's store to
+	// return its system before it logs a warning.
 	discoveryTimeout = time.Second
-	// lastDiscoveryPause is the longest pause between two rounds of questions to the store. Its
-	// watch brings the group too once it answers.
-	lastDiscoveryPause = 30 * time.Second
-	// maxUnproven bounds the groups that wait for a proof. Members offer theirs again.
-	maxUnproven = 16
-	// unprovenPause is the least time between two questions to the store about groups that
-	// cannot be proven without it.
-	unprovenPause = 300 * time.Millisecond
-	// processHeader names a process in a call, and in the answer of that process alone.
+	// maxDiscoveryBackoff is the longest interval between queries to the store. The watch of the
+	// store also delivers the group once the store answers.
+	maxDiscoveryBackoff = 30 * time.Second
+	// maxUnverifiedGroups bounds the queue of groups to verify. Members offer a dropped group
+	// again.
+	maxUnverifiedGroups = 16
+	// storeQueryInterval is the minimum interval between queries to the store about groups that
+	// cannot be verified without it.
+	storeQueryInterval = 300 * time.Millisecond
+	// processHeader carries a process ID in a call. Only the process with that ID repeats it in its
+	// answer.
 	processHeader = "Barleyshelf-Process"
 )
 
-// discoverSystem returns once this replica knows which system it belongs to: by its disk, by the
-// platform's store, or by a group that is proven without it. It returns too where the store answers
-// that no system is formed yet.
+// discoverSystem returns once this replica knows the system that it belongs to: from its disk, from
+// the platform's store, or from a verified group. It also returns if the store answers that no
+// system has been formed yet.
 func (r *Replica) discoverSystem(ctx context.Context) {
-	go r.proveGroups(ctx)
-	asking, cancel := context.WithCancel(ctx)
+	go r.runGroupVerification(ctx)
+	queryCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
-		r.askForSystem(asking)
+		r.pollStoreForSystem(queryCtx)
 	}()
 	for {
 		changed := r.directory.ViewChanged()
@@ -54,16 +56,16 @@
 	}
 }
 
-// askForSystem asks the platform's store for this replica's system until it answers.
-func (r *Replica) askForSystem(ctx context.Context) {
+// pollStoreForSystem queries the platform's store for this replica's system until it answers.
+func (r *Replica) pollStoreForSystem(ctx context.Context) {
 	logged := false
-	for wait := discoveryTimeout; ; wait = min(2*wait, lastDiscoveryPause) {
-		err := directory.DiscoverSystem(ctx, r.objects, r.directory, discoveryTimeout)
+	for wait := discoveryTimeout; ; wait = min(2*wait, maxDiscoveryBackoff) {
+		err := directory.DiscoverSystem(ctx, r.store, r.directory, discoveryTimeout)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
 		if !logged {
-			eventUndiscovered.Log("within_ms", discoveryTimeout.Milliseconds(), "cause", err.Error())
+			eventSystemUnknown.Log("within_ms", discoveryTimeout.Milliseconds(), "cause", err.Error())
 			logged = true
 		}
 		if !pause.For(ctx, wait) {
@@ -72,68 +74,69 @@
 	}
 }
 
-// holdUnproven keeps a group that a peer offers for proveGroups.
-func (r *Replica) holdUnproven(group *replicav1.Group) {
+// queueUnverifiedGroup queues a group that a peer offered for runGroupVerification.
+func (r *Replica) queueUnverifiedGroup(group *replicav1.Group) {
 	select {
-	case r.unproven <- group:
+	case r.unverifiedGroups <- group:
 	default:
-		// Its members offer it again.
+		// The queue is full. The members of the group offer it again.
 	}
 }
 
-// proveGroups takes the groups of peers that can be shown to be of this replica's system.
-func (r *Replica) proveGroups(ctx context.Context) {
-	var asked time.Time
+// runGroupVerification verifies queued groups and accepts those of this replica's system.
+func (r *Replica) runGroupVerification(ctx context.Context) {
+	var lastQuery time.Time
 	for {
 		select {
-		case group := <-r.unproven:
-			if r.directory.AcceptsPeerGroups() || r.prove(ctx, group) || time.Since(asked) < unprovenPause {
+		case group := <-r.unverifiedGroups:
+			if r.directory.AcceptsPeerGroups() || r.verifyGroup(ctx, group) || time.Since(lastQuery) < storeQueryInterval {
 				continue
 			}
-			asked = time.Now()
-			go r.askOnce(ctx)
+			lastQuery = time.Now()
+			go r.queryStoreForSystem(ctx)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// prove takes a group that names this node at an address that leads to this process: another
-// system's member of the same name has an address of its own. Without a seat there, this node can
-// get one through the store alone, which then names the group as well.
-func (r *Replica) prove(ctx context.Context, group *replicav1.Group) bool {
-	member := seatOf(group, r.options.Node)
-	if member == nil || !r.reachesItself(ctx, member.Address) {
+// verifyGroup accepts a group that lists this node with an address that leads to this process. A
+// node of the same name in another system has another address. If the group does not list this
+// node, it can get a seat only through the store, which then returns the group as well.
+func (r *Replica) verifyGroup(ctx context.Context, group *replicav1.Group) bool {
+	member := memberForNode(group, r.options.Node)
+	if member == nil || !r.addressReachesSelf(ctx, member.Address) {
 		return false
 	}
-	eventProven.Log("partition", group.Partition, "epoch", group.Epoch, "system", group.System, "address", member.Address)
+	eventGroupVerified.Log("partition", group.Partition, "epoch", group.Epoch, "system", group.System, "address", member.Address)
 	r.directory.ApplyGroup(group, directory.SourceVerifiedPeer)
 	return true
 }
 
-// askOnce asks the store for this replica's system: it may have been formed since the store
-// answered that it was not. askForSystem logs a silent store.
-func (r *Replica) askOnce(ctx context.Context) {
-	_ = directory.DiscoverSystem(ctx, r.objects, r.directory, unprovenPause)
+// queryStoreForSystem queries the store once for this replica's system, which may have been formed
+// after the store answered that there was none. Errors are ignored because pollStoreForSystem logs
+// an unavailable store.
+func (r *Replica) queryStoreForSystem(ctx context.Context) {
+	_ = directory.DiscoverSystem(ctx, r.store, r.directory, storeQueryInterval)
 }
 
-// reachesItself reports whether a call to an address arrives at this process.
-func (r *Replica) reachesItself(ctx context.Context, address string) bool {
-	call, cancel := context.WithTimeout(ctx, announceTimeout)
+// addressReachesSelf reports whether a call to an address arrives at this process.
+func (r *Replica) addressReachesSelf(ctx context.Context, address string) bool {
+	callCtx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	request := connect.NewRequest(&replicav1.AppendRequest{})
-	request.Header().Set(processHeader, r.process)
-	response, err := r.quorum.ReplicaClient(address).Append(call, request)
-	return err == nil && response.Header().Get(processHeader) == r.process
+	request.Header().Set(processHeader, r.processID)
+	response, err := r.quorum.ReplicaClient(address).Append(callCtx, request)
+	return err == nil && response.Header().Get(processHeader) == r.processID
 }
 
-// identifyProcess names this process in answers to calls that name it.
-func identifyProcess(process string) connect.UnaryInterceptorFunc {
+// processIDInterceptor adds the ID of this process to the answers of calls that carry the same ID.
+func processIDInterceptor(processID string) connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
 			response, err := next(ctx, request)
-			if err == nil && request.Header().Get(processHeader) == process {
-				response.Header().Set(processHeader, process)
+			if err == nil && request.Header().Get(processHeader) == processID {
+				response.Header().Set(processHeader, processID)
 			}
 			return response, err
 		}
--- a/internal/replica/errors.go
+++ b/internal/replica/errors.go
@@ -6,9 +6,9 @@
 	"github.com/barleyshelf/barleyshelf/internal/failure"
 )
 
-// StaleGroup reports a copy that was asked for under a group that is no longer in force.
+// StaleGroup reports a copy request under a group that is no longer current.
 type StaleGroup struct {
-	// Epoch is the caller's, Known the newest that is known here.
+	// Epoch is the epoch of the caller's group, and Known the newest epoch known here.
 	Epoch, Known uint64
 }
 
@@ -22,5 +22,5 @@
 // Outcome returns NotRun.
 func (e *StaleGroup) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry allows a repeat under the newer group, which announcements tell.
+// Retry allows a retry under the newer group, which announcements deliver.
 func (e *StaleGroup) Retry() failure.Retry { return failure.Retry{Allowed: true} }
--- a/internal/replica/failuredetector.go
+++ b/internal/replica/failuredetector.go
@@ -7,51 +7,51 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-// suspectAfter is how long a node may say nothing before its seat may be given
-// to another one.
+// suspectAfter is the time without contact after which a standby may replace a node.
 const suspectAfter = 2600 * time.Millisecond
 
-// failedAfter is how long a node may say nothing before its seat may be removed without a
-// successor. With the exchange that follows it stays within the time after which the next disk
-// may be lost, also where a node has come to a new seat meanwhile.
+// failedAfter is the time without contact after which a node may be removed without a successor.
+// Including the exchange that follows, the removal completes before the next disk may be lost, even
+// if a node has taken a new seat meanwhile.
 const failedAfter = suspectAfter + 800*time.Millisecond
 
-// ownPause is how long this process must have done nothing to have been paused itself.
-const ownPause = 4 * reconcileEvery
+// selfPauseThreshold is the gap between two checks of this process from which on the process counts
+// as having been paused.
+const selfPauseThreshold = 4 * reconcileInterval
 
-// failureDetector keeps when each node was last in contact, and what it reported. A node is healthy,
-// then suspect after suspectAfter without contact, then failed after failedAfter.
+// failureDetector records the last contact of each node and what the node reported. A node is
+// healthy, becomes suspect after suspectAfter without contact, and failed after failedAfter.
 type failureDetector struct {
 	now func() time.Time
-	// began is since when contacts are observed without a pause, observed when this process last
-	// looked at itself.
-	began, observed time.Time
-	mutex           sync.Mutex
-	nodes           map[string]peerStatus
+	// observedSince is the start of the time in which this process has run without a pause, and
+	// lastSelfCheck the last call of checkSelfPause.
+	observedSince, lastSelfCheck time.Time
+	mutex                        sync.Mutex
+	nodes                        map[string]peerStatus
 }
 
-// peerStatus is what one node has shown.
+// peerStatus is the known status of one node.
 type peerStatus struct {
 	lastContact time.Time
-	// stopping is set where the node reported last that it is to stop.
+	// stopping is set if the node last reported that it is stopping.
 	stopping bool
-	// keepsSystem is set where the node's process keeps the name of its system.
-	keepsSystem bool
-	// standings are those of the node's seats, by partition.
+	// storesSystemID is set if the node's process stores the ID of its system.
+	storesSystemID bool
+	// standings are the last reports about the node's seats, by partition.
 	standings map[uint32]reportedStanding
 }
 
-// reportedStanding is a node's report of one of its seats.
+// reportedStanding is a node's report about one of its seats.
 type reportedStanding struct {
 	at       time.Time
 	standing *replicav1.Standing
 }
 
 func newFailureDetector(now func() time.Time) *failureDetector {
-	return &failureDetector{now: now, began: now(), nodes: make(map[string]peerStatus)}
+	return &failureDetector{now: now, observedSince: now(), nodes: make(map[string]peerStatus)}
 }
 
-// observe takes a sign of life.
+// observe records a contact with a node.
 func (d *failureDetector) observe(node string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -60,15 +60,15 @@
 	d.nodes[node] = status
 }
 
-// observeStopping takes a node's report that it is to stop. What it reported before says nothing
-// any more; a node that starts again is observed anew.
+// observeStopping records that a node is stopping. Its earlier reports become invalid. A later
+// contact makes the node healthy again.
 func (d *failureDetector) observeStopping(node string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.nodes[node] = peerStatus{lastContact: d.now(), stopping: true}
 }
 
-// observeStanding takes an answer that concerns a partition.
+// observeStanding records a node's answer about a partition.
 func (d *failureDetector) observeStanding(node string, partition uint32, standing *replicav1.Standing) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -81,63 +81,65 @@
 	d.nodes[node] = status
 }
 
-// observeKeepsSystem takes whether a node's process keeps the name of its system.
-func (d *failureDetector) observeKeepsSystem(node string, keeps bool) {
+// observeStoresSystemID records whether a node's process stores the ID of its system.
+func (d *failureDetector) observeStoresSystemID(node string, stores bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	status := d.nodes[node]
-	status.keepsSystem = keeps
+	status.storesSystemID = stores
 	d.nodes[node] = status
 }
 
-// observeSelf notes that this process runs. After a pause of its own it knows of nobody's silence.
-func (d *failureDetector) observeSelf() {
+// checkSelfPause must be called periodically. After a pause of this process it discards the times
+// without contact, because they are not known to be failures of the nodes.
+func (d *failureDetector) checkSelfPause() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
-	if !d.observed.IsZero() && now.Sub(d.observed) > ownPause {
-		d.began = now
+	if !d.lastSelfCheck.IsZero() && now.Sub(d.lastSelfCheck) > selfPauseThreshold {
+		d.observedSince = now
 	}
-	d.observed = now
+	d.lastSelfCheck = now
 }
 
-// healthy reports whether a node was in contact lately and is not to stop.
-func (d *failureDetector) healthy(node string) bool {
+// isHealthy reports whether a node was in contact recently and is not stopping.
+func (d *failureDetector) isHealthy(node string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	status, found := d.nodes[node]
 	return found && !status.stopping && d.now().Sub(status.lastContact) < suspectAfter
 }
 
-// stops reports whether a node has said lately that its process is to end.
-func (d *failureDetector) stops(node string) bool {
+// isStopping reports whether a node has recently reported that it is stopping.
+func (d *failureDetector) isStopping(node string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	status := d.nodes[node]
 	return status.stopping && d.now().Sub(status.lastContact) < suspectAfter
 }
 
-// failed reports whether a node has been out of contact for so long that it may be gone for good.
-func (d *failureDetector) failed(node string) bool {
+// hasFailed reports whether a node has been without contact for failedAfter and may be gone
+// permanently.
+func (d *failureDetector) hasFailed(node string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	last := d.nodes[node].lastContact
-	if last.Before(d.began) {
-		last = d.began
+	if last.Before(d.observedSince) {
+		last = d.observedSince
 	}
 	return d.now().Sub(last) >= failedAfter
 }
 
-// settled reports whether a member of a partition's group has lately shown the epoch
-// and that it is recovered.
-func (d *failureDetector) settled(node string, partition uint32, epoch uint64) bool {
+// isInSync reports whether a node has recently reported that it is a recovered member of a
+// number's group in an epoch.
+func (d *failureDetector) isInSync(node string, partition uint32, epoch uint64) bool {
 	standing := d.freshStanding(node, partition)
 	return standing != nil && standing.Epoch == epoch && standing.Member && standing.Recovered
 }
 
-// copied returns the incarnation by which a member has lately shown, in an epoch, that it has copied what
-// its seat held, or 0.
-func (d *failureDetector) copied(node string, partition uint32, epoch uint64) uint64 {
+// copiedIncarnation returns the incarnation with which a member has recently reported, in an epoch,
+// that it has copied the records of its seat, or 0.
+func (d *failureDetector) copiedIncarnation(node string, partition uint32, epoch uint64) uint64 {
 	standing := d.freshStanding(node, partition)
 	if standing == nil || standing.Epoch != epoch || !standing.Member || !standing.Copied {
 		return 0
@@ -145,19 +147,20 @@
 	return standing.Incarnation
 }
 
-// holdsRecords reports whether a standing is that of a member which holds everything that its seat held; nil is none.
+// holdsRecords reports whether a standing shows that a member holds all records of its seat. It is
+// false for nil.
 func holdsRecords(member *replicav1.Member, standing *replicav1.Standing) bool {
 	return standing.GetRecovered() && standing.Seat == member.Seat && standing.Claim == member.Claim
 }
 
-// holdsRemovedSeat reports whether the member that a group has removed last has lately shown
-// that it knows of that and still holds everything that its seat held.
-func (d *failureDetector) holdsRemovedSeat(group *replicav1.Group) bool {
+// removedMemberHoldsRecords reports whether the most recently removed member of a group has
+// recently reported that it knows of its removal and still holds all records of its seat.
+func (d *failureDetector) removedMemberHoldsRecords(group *replicav1.Group) bool {
 	standing := d.freshStanding(group.Removed.GetNode(), group.Partition)
-	return standing != nil && heldRemovedSeat(group, standing)
+	return standing != nil && isRemovedHolder(group, standing)
 }
 
-// freshStanding returns what a node has lately reported of its seat of a partition, or nil.
+// freshStanding returns the recent standing of a node in a partition, or nil.
 func (d *failureDetector) freshStanding(node string, partition uint32) *replicav1.Standing {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -168,9 +171,9 @@
 	return last.standing
 }
 
-// keepsSystem reports whether a node's process has shown that it keeps the name of its system.
-func (d *failureDetector) keepsSystem(node string) bool {
+// storesSystemID reports whether a node's process has shown that it stores the ID of its system.
+func (d *failureDetector) storesSystemID(node string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.nodes[node].keepsSystem
+	return d.nodes[node].storesSystemID
 }
--- a/internal/replica/grants.go
+++ b/internal/replica/grantallocator.go
@@ -12,31 +12,31 @@
 	"github.com/barleyshelf/barleyshelf/internal/quota"
 )
 
-// forgetGrantsEvery is how often parts of limits that nobody uses are dropped.
-const forgetGrantsEvery = 10 * time.Second
+// grantCleanupInterval is the interval at which unused shares of limits are dropped.
+const grantCleanupInterval = 10 * time.Second
 
-// grants hands out this node's parts of tenants' limits, and of what workers bear that have
-// just started. Each of its seats begins with nothing when this process first holds it: what
-// the process before, or the holder before, has granted is not known.
-type grants struct {
+// grantAllocator grants requests from this node's shares of tenants' limits and of the capacity of
+// cold workers. Each seat starts with nothing when this process first holds it, because the grants
+// of the previous process or holder are unknown.
+type grantAllocator struct {
 	node string
 	now  func() time.Time
-	// granters hand out by kind, each with a tolerance of its own.
+	// granters are the allocators of each kind, with a tolerance of their own.
 	granters map[replicav1.GrantKind]*quota.Granter
 
 	mutex sync.Mutex
-	// seats are those that this process holds, by partition.
+	// seats are the seats that this process holds, by partition.
 	seats map[uint32]heldSeat
 }
 
-// heldSeat is a seat since this process knows that its node holds it.
+// heldSeat is a seat and the time since when this process knows that its node holds it.
 type heldSeat struct {
 	claim uint64
 	since time.Time
 }
 
-func newGrants(node string, now func() time.Time, tenants, coldWorkers quota.Tolerance) *grants {
-	return &grants{
+func newGrantAllocator(node string, now func() time.Time, tenants, coldWorkers quota.Tolerance) *grantAllocator {
+	return &grantAllocator{
 		node: node, now: now, seats: make(map[uint32]heldSeat),
 		granters: map[replicav1.GrantKind]*quota.Granter{
 			replicav1.GrantKind_GRANT_KIND_TENANT:      quota.NewGranter(tenants),
@@ -45,15 +45,15 @@
 	}
 }
 
-// take notes the seats that a group gives this node, or takes from it.
-func (g *grants) take(groups []*replicav1.Group) {
+// updateSeats adds and removes seats according to the current groups.
+func (g *grantAllocator) updateSeats(groups []*replicav1.Group) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	for _, group := range groups {
 		if group == nil {
 			continue
 		}
-		member := seatOf(group, g.node)
+		member := memberForNode(group, g.node)
 		if member == nil {
 			delete(g.seats, group.Partition)
 			continue
@@ -64,26 +64,26 @@
 	}
 }
 
-// seat returns the node's seat in a partition's group.
-func (g *grants) seat(partition uint32) (heldSeat, bool) {
+// recovery returns this node's seat in a partition.
+func (g *grantAllocator) seat(partition uint32) (heldSeat, bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	held, found := g.seats[partition]
 	return held, found
 }
 
-// sweep drops what nobody uses, again and again.
-func (g *grants) sweep(ctx context.Context) {
-	for pause.For(ctx, forgetGrantsEvery) {
+// runCleanup periodically drops unused shares.
+func (g *grantAllocator) runCleanup(ctx context.Context) {
+	for pause.For(ctx, grantCleanupInterval) {
 		for _, granter := range g.granters {
 			granter.DropFull(g.now())
 		}
 	}
 }
 
-// Grant hands out requests of a tenant, or for a cold worker; a kind that is not known here
-// gets nothing. Of a group's limit each seat has the same part,
-// also while the group has shrunk: a seat that comes back finds its part untouched.
+// Grant grants requests for a tenant or a cold worker; an unknown kind gets nothing. Each seat has
+// the same share of a group's limit, also while the group has fewer members than its target: a seat
+// that is filled again finds its share unused.
 func (s *service) Grant(_ context.Context, request *connect.Request[replicav1.GrantRequest]) (*connect.Response[replicav1.GrantResponse], error) {
 	message := request.Msg
 	response := &replicav1.GrantResponse{Standing: s.state.standing(message.Partition, message.Epoch)}
@@ -99,7 +99,7 @@
 		Wanted: int(message.Wanted), StartsProgram: message.Opening,
 	})
 	response.Granted, response.Plenty = uint32(granted.Requests), granted.NewProgramsAllowed
-	// Rounded up: a caller that comes back too soon asks once more.
+	// Rounded up, because a caller that returns too early has to ask again.
 	response.AfterMs = uint32((granted.RetryAfter + time.Millisecond - 1).Milliseconds())
 	return connect.NewResponse(response), nil
 }
--- a/internal/replica/grants_test.go
+++ b/internal/replica/grants_test.go
@@ -10,10 +10,10 @@
 	"github.com/barleyshelf/barleyshelf/internal/quota"
 )
 
-// TestSeatGrantsStartFromZeroOnEachClaim follows a node through groups.
+// Follows a node through several groups.
 func TestSeatGrantsStartFromZeroOnEachClaim(t *testing.T) {
 	now := time.Unix(1000, 0)
-	held := newGrants("a", func() time.Time { return now }, quota.Tolerance{}, quota.Tolerance{})
+	allocator := newGrantAllocator("a", func() time.Time { return now }, quota.Tolerance{}, quota.Tolerance{})
 	group := func(claim uint64, nodes ...string) []*replicav1.Group {
 		made := &replicav1.Group{Partition: 1}
 		for i, node := range nodes {
@@ -21,23 +21,23 @@
 		}
 		return []*replicav1.Group{nil, made}
 	}
-	_, found := held.seat(1)
+	_, found := allocator.seat(1)
 	require.False(t, found, "no group is known")
-	held.take(group(1, "a", "b"))
-	first, found := held.seat(1)
+	allocator.updateSeats(group(1, "a", "b"))
+	first, found := allocator.seat(1)
 	require.True(t, found)
 	now = now.Add(time.Second)
-	held.take(group(1, "a", "b", "c"))
-	same, _ := held.seat(1)
+	allocator.updateSeats(group(1, "a", "b", "c"))
+	same, _ := allocator.seat(1)
 	require.Equal(t, first, same, "the seat was kept")
-	held.take(group(3, "b", "c"))
-	_, found = held.seat(1)
+	allocator.updateSeats(group(3, "b", "c"))
+	_, found = allocator.seat(1)
 	require.False(t, found, "the seat was given up")
-	held.take(group(4, "a", "b", "c"))
-	again, _ := held.seat(1)
-	require.Equal(t, now, again.since, "what the holder between has granted is not known")
+	allocator.updateSeats(group(4, "a", "b", "c"))
+	regained, _ := allocator.seat(1)
+	require.Equal(t, now, regained.since, "the grants of the holder in between are unknown")
 	now = now.Add(time.Second)
-	held.take(group(5, "a", "b", "c"))
-	anew, _ := held.seat(1)
-	require.Equal(t, now, anew.since, "the seat went away and came back unseen")
+	allocator.updateSeats(group(5, "a", "b", "c"))
+	reclaimed, _ := allocator.seat(1)
+	require.Equal(t, now, reclaimed.since, "the seat was lost and regained unnoticed")
 }
--- a/internal/replica/liveness_test.go
+++ b/internal/replica/liveness_test.go
@@ -13,67 +13,68 @@
 )
 
 const (
-	// livenessSchedules is how many schedules the search plays, livenessRounds how
-	// many rounds without a fault a group has to come back in. Each round is one
-	// announcement by every node and one whole attempt of every copy.
+	// livenessSchedules is the number of schedules that the search runs. livenessRounds is the
+	// number of fault-free rounds in which a group must recover. Each round consists of one
+	// announcement by every node and one complete attempt of every copy.
 	livenessSchedules = 1500
 	livenessRounds    = 8
-	// attemptSteps is how many parts one attempt copies; the sources come at random.
+	// attemptSteps is the number of chunks that one attempt copies; the sources are chosen at
+	// random.
 	attemptSteps = 60
 )
 
-// stuckAfter lets rounds without a fault follow on a schedule and returns what still
-// does not work after them.
-func (f *proofFleet) stuckAfter(rounds int) string {
+// livenessFailure runs fault-free rounds after a schedule and returns what still does not work, or
+// "".
+func (c *simCluster) livenessFailure(rounds int) string {
 	for range rounds {
-		for _, partition := range f.partitions {
-			partition.round()
+		for _, partition := range c.partitions {
+			partition.faultFreeRound()
 		}
-		f.completeRetirement()
+		c.completeRetirement()
 	}
-	for _, partition := range f.partitions {
-		if node := partition.unrecovered(); node != nil {
+	for _, partition := range c.partitions {
+		if node := partition.unrecoveredMember(); node != nil {
 			return "member " + node.name + " is not recovered"
 		}
-		if !partition.acknowledges() {
+		if !partition.canAcknowledge() {
 			return "no majority of recovered members counts together"
 		}
 	}
 	return ""
 }
 
-// round is one announcement by every member and one whole attempt of every copy.
-func (p *proof) round() {
-	p.spreadToAll()
-	if p.broken != noAnnouncements {
+// faultFreeRound runs one announcement by every member and one complete attempt of every copy.
+func (p *simPartition) faultFreeRound() {
+	p.distributeGroup()
+	if p.mutation != noAnnouncements {
 		p.announceAll()
 	}
 	for _, member := range p.group.Members {
-		p.copyWhole(p.nodes[member.Node])
+		p.runCopyAttempt(p.nodes[member.Node])
 	}
 	p.propose()
 }
 
-// spreadToAll lets every node learn the group in force.
-func (p *proof) spreadToAll() {
-	for _, name := range p.order {
-		if node := p.nodes[name]; !node.gone {
+// distributeGroup sends the current group to every node.
+func (p *simPartition) distributeGroup() {
+	for _, name := range p.nodeNames {
+		if node := p.nodes[name]; !node.down {
 			p.must(node.state().write(groupRecord(p.group)))
 		}
 	}
 }
 
-// announceAll makes every member tell every other one its group and incarnation, as the
-// product does each announceEvery.
-func (p *proof) announceAll() {
-	for _, from := range speaking(p.group) {
+// announceAll makes every member announce its group and incarnation to every other one, as replicas
+// do at each announceInterval.
+func (p *simPartition) announceAll() {
+	for _, from := range announcingMembers(p.group) {
 		node := p.nodes[from.Node]
-		if node.gone {
+		if node.down {
 			continue
 		}
-		message := announcementOf(node.state(), p.group, node.name)
-		for _, member := range speaking(p.group) {
-			if other := p.nodes[member.Node]; other != node && !other.gone {
+		message := newAnnouncement(node.state(), p.group, node.name)
+		for _, member := range announcingMembers(p.group) {
+			if other := p.nodes[member.Node]; other != node && !other.down {
 				_, err := other.service.Announce(context.Background(), connect.NewRequest(message))
 				p.must(err)
 			}
@@ -81,19 +82,19 @@
 	}
 }
 
-// copyWhole takes all steps of one attempt to fill a member's seat. What did not end
-// in it goes on in the next one.
-func (p *proof) copyWhole(node *proofNode) {
+// runCopyAttempt runs all steps of one attempt to fill a member's seat. An incomplete copy
+// continues in the next attempt.
+func (p *simPartition) runCopyAttempt(node *simNode) {
 	for range attemptSteps {
-		if !p.lacks(node) {
+		if !p.isUnrecovered(node) {
 			return
 		}
-		p.recoverStepOf(node)
+		p.recoveryStepOf(node)
 	}
 }
 
-// acknowledges reports whether a record that every member gets counts as written.
-func (p *proof) acknowledges() bool {
+// canAcknowledge reports whether a record counts as written after it was sent to every member.
+func (p *simPartition) canAcknowledge() bool {
 	var standings []*replicav1.Standing
 	for _, member := range p.group.Members {
 		request := &replicav1.AppendRequest{Epoch: p.group.Epoch, Partition: p.group.Partition, Records: []*replicav1.Record{
@@ -106,36 +107,34 @@
 	return quorum.ChooseConsistent(p.group.Epoch, standings, quorum.WriteQuorum(quorum.VoterCount(p.group))) != nil
 }
 
-// runLiveness plays one schedule and returns why a group does not come back.
-func runLiveness(fleet *proofFleet) string {
-	defer fleet.close()
-	for range proofSteps {
-		fleet.step()
+// runLivenessSimulation runs one schedule and returns why a group does not recover, or "".
+func runLivenessSimulation(cluster *simCluster) string {
+	defer cluster.close()
+	for range simSteps {
+		cluster.step()
 	}
-	require.Empty(fleet.t, fleet.violation)
-	return fleet.stuckAfter(livenessRounds)
+	require.Empty(cluster.t, cluster.violation)
+	return cluster.livenessFailure(livenessRounds)
 }
 
-// TestGroupRecoversAfterLastFault searches for schedules after whose last fault the
-// group does not work again.
+// Searches for schedules after whose last fault the group does not work again.
 func TestGroupRecoversAfterLastFault(t *testing.T) {
 	for seed := range uint64(livenessSchedules) {
-		require.Empty(t, runLiveness(newProof(t, seed, noBreakage).announce(seed)), fmt.Sprintf("seed %d", seed))
+		require.Empty(t, runLivenessSimulation(newSimPartition(t, seed, noMutation).enableAnnouncements(seed)), fmt.Sprintf("seed %d", seed))
 	}
 }
 
-// TestAllPartitionsRecoverAfterLastFault is the same search where nodes hold seats
-// of several partitions.
+// As TestGroupRecoversAfterLastFault, with nodes that have seats in several partitions.
 func TestAllPartitionsRecoverAfterLastFault(t *testing.T) {
-	for seed := range uint64(livenessSchedules / partitionsPlayed) {
-		fleet := newProofFleet(t, seed, noBreakage, partitionsNodes, partitionsPlayed)
-		require.Empty(t, runLiveness(fleet.announce(seed)), fmt.Sprintf("seed %d", seed))
+	for seed := range uint64(livenessSchedules / simPartitionCount) {
+		cluster := newSimCluster(t, seed, noMutation, simPartitionNodeCount, simPartitionCount)
+		require.Empty(t, runLivenessSimulation(cluster.enableAnnouncements(seed)), fmt.Sprintf("seed %d", seed))
 	}
 }
 
-// TestSimulationDetectsLostLiveness runs the same search with one deliberate fault.
+// Runs the search of TestGroupRecoversAfterLastFault with one mutation at a time.
 func TestSimulationDetectsLostLiveness(t *testing.T) {
-	requireSeen(t, livenessSchedules, func(t require.TestingT, seed uint64, broken breakage) string {
-		return runLiveness(newProof(t, seed, broken).proofFleet)
-	}, askOnce, noAnnouncements)
+	requireDetected(t, livenessSchedules, func(t require.TestingT, seed uint64, m mutation) string {
+		return runLivenessSimulation(newSimPartition(t, seed, m).simCluster)
+	}, cacheSourceStanding, noAnnouncements)
 }
--- a/internal/replica/loans.go
+++ b/internal/replica/loans.go
@@ -12,187 +12,187 @@
 )
 
 const (
-	// returnLoansEvery is how often a holder gives loans back whose time is over: what they
-	// have left serves nobody meanwhile.
-	returnLoansEvery = time.Second
-	// returnLoansTimeout bounds the write of what is given back.
+	// returnLoansInterval is the interval at which a holder returns expired loans. Until then
+	// nobody can use what they have left.
+	returnLoansInterval = time.Second
+	// returnLoansTimeout bounds the write of returned loans.
 	returnLoansTimeout = 3 * time.Second
 )
 
-// returnLoans gives the loans back that this node holds and whose time is over, again and
-// again.
-func (r *Replica) returnLoans(ctx context.Context) {
-	for pause.For(ctx, returnLoansEvery) {
-		for _, partition := range r.state.holdingLoans() {
+// runLoanReturns periodically closes the expired loans of this node and returns what they have
+// left.
+func (r *Replica) runLoanReturns(ctx context.Context) {
+	for pause.For(ctx, returnLoansInterval) {
+		for _, partition := range r.state.partitionsWithLoans() {
 			group := r.directory.Group(partition)
-			seatLost := group != nil && seatOf(group, r.options.Node) == nil
-			if err := r.state.closeLapsed(partition, seatLost); err != nil {
+			seatLost := group != nil && memberForNode(group, r.options.Node) == nil
+			if err := r.state.closeExpiredLoans(partition, seatLost); err != nil {
 				eventWriteFailed.Log("cause", err.Error())
 				continue
 			}
-			r.settleAtMajority(ctx, partition)
+			r.writeLoanReturns(ctx, partition)
 		}
 	}
 }
 
-// settleAtMajority writes what the closed accounts of a partition give back. What fails is
-// written the next time.
-func (r *Replica) settleAtMajority(ctx context.Context, partition uint32) {
+// writeLoanReturns writes the remainders of a partition's closed accounts to a majority. A failed
+// writeRecord is repeated in the next round.
+func (r *Replica) writeLoanReturns(ctx context.Context, partition uint32) {
 	var records []*replicav1.Record
-	accounts := r.state.unreturned(partition)
+	accounts := r.state.unreturnedAccounts(partition)
 	if len(accounts) == 0 {
 		return
 	}
 	for _, account := range accounts {
 		records = append(records, loan.ReturnRecords(account.Account, account.Retention)...)
 	}
-	call, cancel := context.WithTimeout(ctx, returnLoansTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, returnLoansTimeout)
 	defer cancel()
-	if err := r.quorum.Append(call, accounts[0].Program, records...); err != nil {
-		eventLoansKept.Log("partition", partition, "loans", len(accounts), "cause", err.Error())
+	if err := r.quorum.Append(callCtx, accounts[0].Program, records...); err != nil {
+		eventLoanReturnFailed.Log("partition", partition, "loans", len(accounts), "cause", err.Error())
 		return
 	}
-	r.state.returned(partition, accounts)
+	r.state.markReturned(partition, accounts)
 }
 
-// holdingLoans returns the partitions of which accounts are here.
-func (s *state) holdingLoans() (partitions []uint32) {
+// partitionsWithLoans returns the partitions with loan accounts on this node.
+func (s *state) partitionsWithLoans() (partitions []uint32) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for partition, known := range s.partitions {
-		if _, accounts := known.book.Counts(); accounts > 0 {
+	for partition, state := range s.partitions {
+		if _, accounts := state.accounts.Counts(); accounts > 0 {
 			partitions = append(partitions, partition)
 		}
 	}
 	return partitions
 }
 
-// closeLapsed closes the accounts of a partition that can be drawn on no more, and forgets
-// those that are not needed.
-func (s *state) closeLapsed(partition uint32, seatLost bool) error {
-	return s.decide(partition, func(known *partitionState, write func(*replicav1.Record)) {
-		now := known.now()
-		known.book.PruneReturned(now)
-		for _, account := range known.book.ExpiredAccounts(now, seatLost) {
-			ended := known.book.Close(now, account.Program, &replicav1.LoanClosing{Loan: account.Loan}, 0)
-			if ended.MustWrite {
-				write(accountRecord(partition, ended.Account, 0))
+// closeExpiredLoans closes the accounts of a partition that no longer permit draws, and drops those
+// that are no longer needed. If this node has lost its seat, it closes all open accounts.
+func (s *state) closeExpiredLoans(partition uint32, seatLost bool) error {
+	return s.update(partition, func(state *partitionState, write func(*replicav1.Record)) {
+		now := state.now()
+		state.accounts.PruneReturned(now)
+		for _, account := range state.accounts.ExpiredAccounts(now, seatLost) {
+			closing := state.accounts.Close(now, account.Program, &replicav1.LoanClosing{Loan: account.Loan}, 0)
+			if closing.MustWrite {
+				write(accountRecord(partition, closing.Account, 0))
 			}
 		}
 	})
 }
 
-// unreturned returns the closed accounts of a partition of which the majority was not told
-// from here.
-func (s *state) unreturned(partition uint32) []loan.RetainedAccount {
+// unreturnedAccounts returns the closed accounts of a partition that this process has not written
+// to a majority.
+func (s *state) unreturnedAccounts(partition uint32) []loan.RetainedAccount {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.partition(partition).book.UnreturnedAccounts()
+	return s.partition(partition).accounts.UnreturnedAccounts()
 }
 
-func (s *state) returned(partition uint32, accounts []loan.RetainedAccount) {
+func (s *state) markReturned(partition uint32, accounts []loan.RetainedAccount) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	book := s.partition(partition).book
+	accountSet := s.partition(partition).accounts
 	for _, account := range accounts {
-		book.MarkReturned(s.now(), account.Loan)
+		accountSet.MarkReturned(s.now(), account.Loan)
 	}
 }
 
-// owesLoans reports whether there are loans here of which the majority does not know what
-// they have left.
-func (s *state) owesLoans() bool {
+// hasUnreturnedLoans reports whether there are loans whose remainder is not yet written to a
+// majority.
+func (s *state) hasUnreturnedLoans() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, each := range s.partitions {
-		if open, _ := each.book.Counts(); open > 0 || len(each.book.UnreturnedAccounts()) > 0 {
+	for _, partition := range s.partitions {
+		if open, _ := partition.accounts.Counts(); open > 0 || len(partition.accounts.UnreturnedAccounts()) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// loans returns how many accounts are open here.
-func (s *state) loans() (open int) {
+// openLoanCount returns the number of open accounts.
+func (s *state) openLoanCount() (open int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, each := range s.partitions {
-		here, _ := each.book.Counts()
-		open += here
+	for _, partition := range s.partitions {
+		partitionOpen, _ := partition.accounts.Counts()
+		open += partitionOpen
 	}
 	return open
 }
 
-// Loan opens, draws on or closes the account of a loan that this replica holds. The answer
-// rests on what is on the disk.
+// Loan opens, draws on or closes the account of a loan that this replica holds. It returns after
+// the change is on the disk.
 func (s *service) Loan(_ context.Context, request *connect.Request[replicav1.LoanRequest]) (*connect.Response[replicav1.LoanResponse], error) {
 	message := request.Msg
 	call := &loanCall{request: message, response: &replicav1.LoanResponse{}}
-	if err := s.state.decide(message.Partition, call.decide); err != nil {
+	if err := s.state.update(message.Partition, call.execute); err != nil {
 		return nil, connect.NewError(connect.CodeResourceExhausted, err)
 	}
 	call.response.Standing = s.state.standing(message.Partition, message.Epoch)
 	return connect.NewResponse(call.response), nil
 }
 
-// loanCall is one call that concerns the loans of a program.
+// loanCall is one call about the loans of a program.
 type loanCall struct {
-	request  *replicav1.LoanRequest
-	response *replicav1.LoanResponse
-	known    *partitionState
-	record   func(*replicav1.Record)
+	request   *replicav1.LoanRequest
+	response  *replicav1.LoanResponse
+	partition *partitionState
+	persist   func(*replicav1.Record)
 }
 
-// decide answers the call from what is known and writes what is to be on the disk first.
-func (c *loanCall) decide(known *partitionState, record func(*replicav1.Record)) {
-	c.known, c.record = known, record
+// execute handles the call and persists the resulting account states.
+func (c *loanCall) execute(partition *partitionState, persist func(*replicav1.Record)) {
+	c.partition, c.persist = partition, persist
 	for _, settlement := range c.request.Settlements {
-		account, taken := known.book.Settle(settlement)
-		if !taken {
+		account, accepted := partition.accounts.Settle(settlement)
+		if !accepted {
 			c.response.NotTaken = append(c.response.NotTaken, settlement.Id)
 		}
-		c.write(account, 0)
+		c.persistAccount(account, 0)
 	}
 	switch call := c.request.Call.(type) {
 	case *replicav1.LoanRequest_Open:
 		c.open(call.Open)
 	case *replicav1.LoanRequest_Draw:
-		drawing := known.book.Draw(known.now(), c.request.Program, call.Draw)
-		c.response.Outcome, c.response.Left = drawing.Outcome, drawing.Remaining
-		c.write(drawing.Account, 0)
+		result := partition.accounts.Draw(partition.now(), c.request.Program, call.Draw)
+		c.response.Outcome, c.response.Left = result.Outcome, result.Remaining
+		c.persistAccount(result.Account, 0)
 	case *replicav1.LoanRequest_Close:
 		c.close(call.Close)
 	}
 }
 
-// open opens the account of a loan that names this life of the folder.
+// open opens the account of a loan if the loan names the present incarnation of this folder.
 func (c *loanCall) open(opening *replicav1.LoanOpening) {
-	if c.known.identity.GetIncarnation() != opening.Incarnation {
+	if c.partition.identity.GetIncarnation() != opening.Incarnation {
 		return
 	}
-	account := c.known.book.NewAccount(c.request.Program, opening)
+	account := c.partition.accounts.NewAccount(c.request.Program, opening)
 	if account == nil {
 		return
 	}
-	c.write(account, opening.RetentionMs)
-	c.known.book.MarkOpened(opening.Loan)
+	c.persistAccount(account, opening.RetentionMs)
+	c.partition.accounts.MarkOpened(opening.Loan)
 	c.response.Outcome, c.response.Left = replicav1.LoanOutcome_LOAN_OUTCOME_DONE, loan.Remaining(account)
 }
 
-// close ends a loan and tells what was drawn on it.
+// close ends a loan and returns what was drawn on it.
 func (c *loanCall) close(closing *replicav1.LoanClosing) {
-	ended := c.known.book.Close(c.known.now(), c.request.Program, closing, c.known.identity.GetIncarnation())
-	c.response.Outcome, c.response.Closed = ended.Outcome, ended.Account
-	c.response.AfterMs = uint32(ended.RetryAfter.Milliseconds())
-	if ended.MustWrite {
-		c.write(ended.Account, closing.RetentionMs)
+	result := c.partition.accounts.Close(c.partition.now(), c.request.Program, closing, c.partition.identity.GetIncarnation())
+	c.response.Outcome, c.response.Closed = result.Outcome, result.Account
+	c.response.AfterMs = uint32(result.RetryAfter.Milliseconds())
+	if result.MustWrite {
+		c.persistAccount(result.Account, closing.RetentionMs)
 	}
 }
 
-// write takes the next state of an account; nil is none.
-func (c *loanCall) write(account *replicav1.Account, retentionMs int64) {
+// persistAccount adds the next state of an account to the write batch. A nil account is ignored.
+func (c *loanCall) persistAccount(account *replicav1.Account, retentionMs int64) {
 	if account != nil {
-		c.record(accountRecord(c.known.partition, account, time.Duration(retentionMs)*time.Millisecond))
+		c.persist(accountRecord(c.partition.number, account, time.Duration(retentionMs)*time.Millisecond))
 	}
 }
 
--- a/internal/replica/metrics.go
+++ b/internal/replica/metrics.go
@@ -28,11 +28,11 @@
 		Name: "replica_recovered", Kind: telemetry.KindGauge, Unit: "boolean",
 		Help: "1 while this replica holds seats and everything that they held.",
 	})
-	metricLacking = telemetry.Define(telemetry.Definition{
+	metricGroupsUnderReplicated = telemetry.Define(telemetry.Definition{
 		Name: "replica_groups_lacking", Kind: telemetry.KindGauge, Unit: "groups",
 		Help: "Groups of which a member, as this one hears, has not held its seat for 3 s: they bear one loss less.",
 	})
-	metricLossesBorne = telemetry.Define(telemetry.Definition{
+	metricLossesTolerated = telemetry.Define(telemetry.Definition{
 		Name: "replica_losses_borne", Kind: telemetry.KindGauge, Unit: "disks",
 		Help: "Lost disks that the weakest group of this replica's seats bears, as this one hears; below 0 service waits for members.",
 	})
@@ -40,7 +40,7 @@
 		Name: "replica_zone_drains_revision", Kind: telemetry.KindGauge, Unit: "revision",
 		Help: "Revision of the platform's store as of which this replica knows the drained zones; 0 is not at all.",
 	})
-	metricLoans = telemetry.Define(telemetry.Definition{
+	metricOpenLoans = telemetry.Define(telemetry.Definition{
 		Name: "replica_loans_open", Kind: telemetry.KindGauge, Unit: "loans",
 		Help: "Loans of programs' budgets that this replica holds and has not closed.",
 	})
@@ -50,17 +50,17 @@
 	})
 )
 
-func (r *Replica) defineGauges(registry *telemetry.Registry, bound *admission) {
-	r.feed.RegisterMetrics(registry)
-	registry.GaugeFunc(metricCallsRefused, func() float64 { return float64(bound.refused.Load()) })
+func (r *Replica) registerGauges(registry *telemetry.Registry, limiter *inFlightLimiter) {
+	r.watcher.RegisterMetrics(registry)
+	registry.GaugeFunc(metricCallsRefused, func() float64 { return float64(limiter.refused.Load()) })
 	registry.GaugeFunc(metricDrainsRevision, func() float64 { return float64(r.directory.View().Drains.Revision) })
-	registry.GaugeFunc(metricLoans, func() float64 { return float64(r.state.loans()) })
-	registry.GaugeFunc(metricLacking, func() float64 { return float64(r.underReplicated.count()) })
-	registry.GaugeFunc(metricLossesBorne, func() float64 { return float64(r.underReplicated.leastBorne()) })
+	registry.GaugeFunc(metricOpenLoans, func() float64 { return float64(r.state.openLoanCount()) })
+	registry.GaugeFunc(metricGroupsUnderReplicated, func() float64 { return float64(r.underReplicated.count()) })
+	registry.GaugeFunc(metricLossesTolerated, func() float64 { return float64(r.underReplicated.minToleratedLosses()) })
 	registry.GaugeFunc(metricSeats, func() float64 { return float64(len(r.ownGroups())) })
-	registry.GaugeFunc(metricStraySeats, func() float64 { return float64(r.straySeats()) })
+	registry.GaugeFunc(metricStraySeats, func() float64 { return float64(r.straySeatCount()) })
 	registry.GaugeFunc(metricRecords, func() float64 {
-		return float64(r.state.records())
+		return float64(r.state.recordCount())
 	})
 	registry.GaugeFunc(metricEpoch, func() float64 { return float64(slices.Max(append(r.directory.View().Epochs(), 0))) })
 	registry.GaugeFunc(metricRecovered, func() float64 {
@@ -72,11 +72,11 @@
 }
 
 func (r *Replica) readiness() telemetry.Readiness {
-	own := r.ownGroups()
-	if len(own) == 0 {
+	ownGroups := r.ownGroups()
+	if len(ownGroups) == 0 {
 		return telemetry.Readiness{Reason: "holds no seat"}
 	}
-	for _, group := range own {
+	for _, group := range ownGroups {
 		if standing := r.state.standing(group.Partition, group.Epoch); !standing.Member || !standing.Recovered {
 			return telemetry.Readiness{Reason: "recovering partition " + strconv.Itoa(int(group.Partition))}
 		}
--- a/internal/replica/partition.go
+++ b/internal/replica/partition.go
@@ -10,68 +10,68 @@
 	"github.com/barleyshelf/barleyshelf/internal/turn"
 )
 
-// partitionState is what one replica knows of one partition: its group, this folder's
-// seat there, the incarnations seen of the other seats, and the records. It is not
-// safe for concurrent use.
+// partitionState is the state of one partition on one replica: the group, this folder's identity,
+// the incarnations seen of other seats, the records, and the loan accounts. It is not safe for
+// concurrent use.
 type partitionState struct {
-	partition uint32
-	store     *turn.Store
-	group     *replicav1.Group
-	identity  *replicav1.Identity
-	seen      map[uint32]uint64
-	// book is the accounts of loans that this folder holds. They are its own: no other
-	// replica copies them.
-	book *loan.AccountSet
-	now  func() time.Time
+	number           uint32
+	store            *turn.Store
+	group            *replicav1.Group
+	identity         *replicav1.Identity
+	seenIncarnations map[uint32]uint64
+	// accounts holds the accounts of loans that were made to this folder. They are local: other
+	// replicas do not copy them.
+	accounts *loan.AccountSet
+	now      func() time.Time
 }
 
 func newPartitionState(partition uint32, now func() time.Time) *partitionState {
 	return &partitionState{
-		partition: partition, store: turn.NewStore(), seen: make(map[uint32]uint64),
-		book: loan.NewAccountSet(quorum.SettleDelay), now: now,
+		number: partition, store: turn.NewStore(), seenIncarnations: make(map[uint32]uint64),
+		accounts: loan.NewAccountSet(quorum.SettleDelay), now: now,
 	}
 }
 
-// apply takes a record and reports whether it changed anything.
+// apply applies a record and reports whether it changed anything.
 func (p *partitionState) apply(record *replicav1.Record) bool {
 	switch kind := record.Kind.(type) {
 	case *replicav1.Record_Identity:
 		if p.identity.GetIncarnation() != kind.Identity.Incarnation {
-			// What was seen of the seat until now was of its holders before. Kept, it would
-			// say for ever that this one is not the newest.
-			delete(p.seen, kind.Identity.Seat)
+			// The incarnation seen in this seat so far belongs to a previous holder. If it were
+			// kept, this folder would always report that its own incarnation is not the newest.
+			delete(p.seenIncarnations, kind.Identity.Seat)
 		}
 		p.identity = kind.Identity
 	case *replicav1.Record_Incarnation:
-		if p.seen[kind.Incarnation.Seat] == kind.Incarnation.Incarnation {
+		if p.seenIncarnations[kind.Incarnation.Seat] == kind.Incarnation.Incarnation {
 			return false
 		}
-		p.seen[kind.Incarnation.Seat] = kind.Incarnation.Incarnation
+		p.seenIncarnations[kind.Incarnation.Seat] = kind.Incarnation.Incarnation
 	case *replicav1.Record_Group:
 		if p.group != nil && (p.group.Epoch >= kind.Group.Epoch || !directory.AcceptsGroup(p.group.System, kind.Group)) {
 			return false
 		}
-		p.takeGroup(kind.Group)
+		p.setGroup(kind.Group)
 	case *replicav1.Record_Account:
-		return p.book.Apply(p.now(), kind.Account, time.Duration(record.RetentionMs)*time.Millisecond)
+		return p.accounts.Apply(p.now(), kind.Account, time.Duration(record.RetentionMs)*time.Millisecond)
 	default:
 		return p.store.Apply(p.now(), record)
 	}
 	return true
 }
 
-// takeGroup takes a newer group. Whoever was seen in a seat that this folder gets back has not
-// held it.
-func (p *partitionState) takeGroup(group *replicav1.Group) {
-	_, before := p.member()
+// setGroup sets a newer group. If this folder regains its seat, the incarnation seen in it
+// meanwhile is dropped: that node no longer holds the seat.
+func (p *partitionState) setGroup(group *replicav1.Group) {
+	_, heldBefore := p.member()
 	p.group = group
-	if _, holds := p.member(); holds && !before {
-		delete(p.seen, p.identity.Seat)
+	if _, holds := p.member(); holds && !heldBefore {
+		delete(p.seenIncarnations, p.identity.Seat)
 	}
 }
 
-// member returns this node's seat in the group, if it has one that its folder
-// was begun for.
+// member returns this node's member in the group, if the folder's identity belongs to a present
+// recovery.
 func (p *partitionState) member() (*replicav1.Member, bool) {
 	if p.group == nil || p.identity == nil {
 		return nil, false
@@ -84,7 +84,7 @@
 	return nil, false
 }
 
-// standing describes this replica's seat to a caller that knows an epoch.
+// standing returns this replica's standing for a caller that knows an epoch.
 func (p *partitionState) standing(epoch uint64) *replicav1.Standing {
 	standing := &replicav1.Standing{}
 	if p.group != nil {
@@ -100,25 +100,25 @@
 		standing.Recovered = p.identity.Recovered
 		standing.Copied = p.identity.Copied
 	}
-	for seat, incarnation := range p.seen {
+	for seat, incarnation := range p.seenIncarnations {
 		standing.Seen = append(standing.Seen, &replicav1.SeatIncarnation{Seat: seat, Incarnation: incarnation})
 	}
 	return standing
 }
 
-// ownRecords returns what this replica knows of itself and the group.
-func (p *partitionState) ownRecords() (records []*replicav1.Record) {
+// metadataRecords returns the records of the partition outside the turn store.
+func (p *partitionState) metadataRecords() (records []*replicav1.Record) {
 	if p.identity != nil {
-		records = append(records, identityRecord(p.partition, p.identity))
+		records = append(records, identityRecord(p.number, p.identity))
 	}
 	if p.group != nil {
 		records = append(records, groupRecord(p.group))
 	}
-	for seat, incarnation := range p.seen {
-		records = append(records, incarnationRecord(p.partition, seat, incarnation))
+	for seat, incarnation := range p.seenIncarnations {
+		records = append(records, incarnationRecord(p.number, seat, incarnation))
 	}
-	for _, account := range p.book.Accounts() {
-		records = append(records, accountRecord(p.partition, account.Account, account.Retention))
+	for _, account := range p.accounts.Accounts() {
+		records = append(records, accountRecord(p.number, account.Account, account.Retention))
 	}
 	return records
 }
--- a/internal/replica/keptworkers_test.go
+++ b/internal/replica/persistedworkers_test.go
@@ -18,12 +18,11 @@
 	return directory.Change{Object: directory.Object{Name: id, Worker: &worker}}
 }
 
-// TestPersistedWorkersMatchNewestList plays changes and lists, with steps that are written or
-// left out, and reads the disk's records again.
+// Applies random changes to a list, some of which are written, and then reads the written records.
 func TestPersistedWorkersMatchNewestList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := directory.NewState(time.Now, nil)
-		var kept keptWorkers
+		var persisted persistedWorkers
 		var disk []*replicav1.WorkerList
 		state.ReplaceWorkers([]directory.Worker{{ID: "a", Instance: "a", Service: "s"}}, 1)
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -34,19 +33,19 @@
 			}
 			state.ApplyWorkerChanges([]directory.Change{change}, int64(step+2))
 			if rapid.Bool().Draw(t, "written") {
-				list := state.WorkerChanges(kept.revision)
+				list := state.WorkerChanges(persisted.revision)
 				disk = append(disk, list)
-				require.True(t, kept.take(list))
+				require.True(t, persisted.apply(list))
 			}
 		}
-		var read keptWorkers
+		var read persistedWorkers
 		for _, list := range disk {
-			read.take(list)
-			read.take(list)
+			read.apply(list)
+			read.apply(list)
 		}
-		require.Equal(t, kept.revision, read.revision)
-		require.Len(t, read.byID, len(kept.byID))
-		if kept.revision != state.WorkersRevision() {
+		require.Equal(t, persisted.revision, read.revision)
+		require.Len(t, read.byID, len(persisted.byID))
+		if persisted.revision != state.WorkersRevision() {
 			return
 		}
 		want := make(map[string]uint32)
@@ -61,7 +60,7 @@
 	})
 }
 
-// TestWorkerChangeSizeIsIndependentOfWorkerCount compares what the disk is given for one change.
+// Compares the size of the record that is written for one change.
 func TestWorkerChangeSizeIsIndependentOfWorkerCount(t *testing.T) {
 	written := func(workers int) int {
 		state := directory.NewState(time.Now, nil)
@@ -70,10 +69,10 @@
 			listed = append(listed, *workerChange(fmt.Sprintf("worker-%05d", i), 1).Object.Worker)
 		}
 		state.ReplaceWorkers(listed, 5)
-		var kept keptWorkers
-		require.True(t, kept.take(state.WorkerChanges(kept.revision)))
+		var persisted persistedWorkers
+		require.True(t, persisted.apply(state.WorkerChanges(persisted.revision)))
 		state.ApplyWorkerChanges([]directory.Change{workerChange("worker-00000", 2)}, 6)
-		return proto.Size(state.WorkerChanges(kept.revision))
+		return proto.Size(state.WorkerChanges(persisted.revision))
 	}
 	require.Equal(t, written(100), written(1000))
 }
--- a/internal/replica/proposals.go
+++ b/internal/replica/proposals.go
@@ -7,74 +7,77 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-// proposalStagger is how much longer each further member waits before it proposes a
-// change that all of them want: two turns of the loop in which the first one's proposal
-// comes back with the platform's store.
-const proposalStagger = 2 * reconcileEvery
+// proposalStagger is how much longer each further member waits before it proposes a change that all
+// members want. It covers two rounds of reconcileGroups, in which the proposal of an earlier member
+// arrives through the platform's store.
+const proposalStagger = 2 * reconcileInterval
 
-// failureLogInterval is the least time between two lines on failed proposals of one partition.
+// failureLogInterval is the minimum interval between log lines about failed proposals of one
+// number.
 const failureLogInterval = 2 * time.Second
 
-// proposals keeps members from proposing the same change at the same moment: each
-// proposal costs calls to the platform's store, and one of them is accepted.
+// proposals staggers the proposals of the members. Each proposal costs calls to the platform's
+// store and only one of them is accepted.
 //
-// Its methods are not safe for concurrent use, but for failureDue.
+// Its methods are not safe for concurrent use, except shouldLogFailure.
 type proposals struct {
 	now func() time.Time
-	// mutex guards logged: when a failed proposal was logged last, by partition.
-	mutex  sync.Mutex
-	logged map[uint32]time.Time
-	// wanted is since when a change of a partition's group is wanted.
-	wanted map[uint32]wantedChange
+	// mutex guards lastFailureLogs, the times at which a failed proposal was last logged, by
+	// number.
+	mutex           sync.Mutex
+	lastFailureLogs map[uint32]time.Time
+	// pending are the changes that are due, by partition, with the time since when they have been.
+	pending map[uint32]pendingChange
 }
 
-type wantedChange struct {
+type pendingChange struct {
 	epoch uint64
 	since time.Time
 }
 
 func newProposals(now func() time.Time) *proposals {
-	return &proposals{now: now, wanted: make(map[uint32]wantedChange), logged: make(map[uint32]time.Time)}
+	return &proposals{now: now, pending: make(map[uint32]pendingChange), lastFailureLogs: make(map[uint32]time.Time)}
 }
 
-// due reports whether a member that comes after rank others may propose a change of the
-// group now.
-func (p *proposals) due(group *replicav1.Group, rank int) bool {
-	return p.wantedFor(group, time.Duration(rank)*proposalStagger)
+// isDue reports whether a member may propose a change of the group now. rank is the number of
+// members that propose before it.
+func (p *proposals) isDue(group *replicav1.Group, rank int) bool {
+	return p.pendingFor(group, time.Duration(rank)*proposalStagger)
 }
 
-// wantedFor reports whether a change of the group has been wanted for so long.
-func (p *proposals) wantedFor(group *replicav1.Group, limit time.Duration) bool {
-	known, found := p.wanted[group.Partition]
-	if !found || known.epoch != group.Epoch {
-		known = wantedChange{epoch: group.Epoch, since: p.now()}
-		p.wanted[group.Partition] = known
+// pendingFor reports whether a change of the group has been pending for the given duration. The
+// first call starts the time.
+func (p *proposals) pendingFor(group *replicav1.Group, duration time.Duration) bool {
+	change, found := p.pending[group.Partition]
+	if !found || change.epoch != group.Epoch {
+		change = pendingChange{epoch: group.Epoch, since: p.now()}
+		p.pending[group.Partition] = change
 	}
-	return p.now().Sub(known.since) >= limit
+	return p.now().Sub(change.since) >= duration
 }
 
-// failureDue reports whether a failed proposal is to be logged: one in failureLogInterval.
-func (p *proposals) failureDue(partition uint32) bool {
+// shouldLogFailure reports whether to log a failed proposal: at most one per failureLogInterval.
+func (p *proposals) shouldLogFailure(partition uint32) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	last, logged := p.logged[partition]
-	if logged && p.now().Sub(last) < failureLogInterval {
+	lastLogged, logged := p.lastFailureLogs[partition]
+	if logged && p.now().Sub(lastLogged) < failureLogInterval {
 		return false
 	}
-	p.logged[partition] = p.now()
+	p.lastFailureLogs[partition] = p.now()
 	return true
 }
 
-// settled notes that no change of a partition's group is wanted.
-func (p *proposals) settled(partition uint32) { delete(p.wanted, partition) }
+// clear records that no change of a partition's group is pending.
+func (p *proposals) clear(partition uint32) { delete(p.pending, partition) }
 
-// proposalRank returns how many members propose before a node: those that are healthy,
-// in the order of the group. Before them all comes a member that is to stop, and the holder of a seat
-// that tells what it has received.
-func proposalRank(seen observation, node string) int {
+// proposalRank returns the number of members that propose before a node: the healthy ones before it
+// in the order of the group. A stopping member proposes before all others, and so does the holder
+// of a seat that reports the completion of its own transfer.
+func proposalRank(status groupStatus, node string) int {
 	rank := 0
-	switch leaving := nextDeparture(seen); {
-	case receivedNext(seen) != nil:
+	switch leaving := nextDeparture(status); {
+	case nextCompletedTransfer(status) != nil:
 		rank = 1
 	case leaving != nil && leaving.reason == memberStopping:
 		if leaving.member.Node == node {
@@ -82,11 +85,11 @@
 		}
 		rank = 1
 	}
-	for _, member := range seen.group.Members {
+	for _, member := range status.group.Members {
 		if member.Node == node {
 			break
 		}
-		if seen.healthy(member.Node) {
+		if status.isHealthy(member.Node) {
 			rank++
 		}
 	}
--- a/internal/replica/proposals_test.go
+++ b/internal/replica/proposals_test.go
@@ -13,22 +13,22 @@
 	now := time.Unix(100, 0)
 	first, second := newProposals(func() time.Time { return now }), newProposals(func() time.Time { return now })
 	group := &replicav1.Group{Epoch: 4}
-	require.True(t, first.due(group, 0))
-	require.False(t, second.due(group, 1), "the first one's proposal may be on its way")
+	require.True(t, first.isDue(group, 0))
+	require.False(t, second.isDue(group, 1), "the proposal of the first member may be pending")
 	now = now.Add(proposalStagger)
-	require.True(t, second.due(group, 1), "the first one has not done it")
+	require.True(t, second.isDue(group, 1), "the first member has not proposed the change")
 
 	next := &replicav1.Group{Epoch: 5}
-	require.False(t, second.due(next, 1), "another change is waited for anew")
+	require.False(t, second.isDue(next, 1), "the delay starts again for another change")
 	now = now.Add(proposalStagger)
-	second.settled(0)
-	require.False(t, second.due(next, 1), "it was not wanted all the time")
+	second.clear(0)
+	require.False(t, second.isDue(next, 1), "the change was not pending continuously")
 }
 
 func TestProposalRankCountsHealthyMembers(t *testing.T) {
-	group := oneGroup(nodes("a", "b", "c", "d"))
-	seen := seenAll(group, nodes("a", "b", "c", "d"))
-	require.Equal(t, 2, proposalRank(seen, "c"))
-	seen.healthy = except("a")
-	require.Equal(t, 1, proposalRank(seen, "c"))
+	group := singlePartitionGroup(nodes("a", "b", "c", "d"))
+	status := statusAllInSync(group, nodes("a", "b", "c", "d"))
+	require.Equal(t, 2, proposalRank(status, "c"))
+	status.isHealthy = allExcept("a")
+	require.Equal(t, 1, proposalRank(status, "c"))
 }
--- a/internal/replica/propose.go
+++ b/internal/replica/propose.go
@@ -8,37 +8,36 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-// propose writes the next group on the condition that the present one still
-// stands in the store.
-func (r *Replica) propose(ctx context.Context, group, next *replicav1.Group, why changeReason) {
-	found, exists, err := r.objects.Get(ctx, directory.KindGroup, directory.GroupName(group.Partition))
+// propose writes the next group if the present one is still current in the store.
+func (r *Replica) propose(ctx context.Context, group, next *replicav1.Group, reason changeReason) {
+	stored, exists, err := r.store.Get(ctx, directory.KindGroup, directory.GroupName(group.Partition))
 	if err != nil || !exists {
-		r.notProposed(next, err)
+		r.logProposalFailure(next, err)
 		return
 	}
-	if found.Group.Epoch != group.Epoch {
-		r.directory.ApplyGroup(found.Group, directory.SourceStore)
+	if stored.Group.Epoch != group.Epoch {
+		r.directory.ApplyGroup(stored.Group, directory.SourceStore)
 		return
 	}
-	found.Group = next
-	if err := r.objects.Replace(ctx, directory.KindGroup, found); err != nil {
-		r.notProposed(next, err)
+	stored.Group = next
+	if err := r.store.Replace(ctx, directory.KindGroup, stored); err != nil {
+		r.logProposalFailure(next, err)
 		return
 	}
-	eventProposed.Log("partition", next.Partition, "epoch", next.Epoch, "members", nodesOf(next.Members), "inTransfer", nodesOf(transfers(next)),
-		"removed", next.Removed.GetNode(), "system", next.System, "why", why)
+	eventProposed.Log("partition", next.Partition, "epoch", next.Epoch, "members", nodeNames(next.Members), "inTransfer", nodeNames(membersInTransfer(next)),
+		"removed", next.Removed.GetNode(), "system", next.System, "why", reason)
 	r.directory.ApplyGroup(next, directory.SourceSelf)
 	if next.Removed != nil {
-		// What follows waits until every member shows the epoch.
+		// The next change waits until every member reports the new epoch.
 		r.announceGroup(ctx, next)
 	}
 }
 
-// notProposed logs a proposal that failed. One that another member was faster with is no failure; nil is
-// a group that the store does not list.
-func (r *Replica) notProposed(next *replicav1.Group, err error) {
-	var taken *directory.Conflict
-	if errors.As(err, &taken) || !r.proposals.failureDue(next.Partition) {
+// logProposalFailure logs a failed proposal. A conflict with another member's proposal is not a
+// failure. A nil error means that the store does not list the group.
+func (r *Replica) logProposalFailure(next *replicav1.Group, err error) {
+	var conflict *directory.Conflict
+	if errors.As(err, &conflict) || !r.proposals.shouldLogFailure(next.Partition) {
 		return
 	}
 	cause := "the store lists no group of the partition"
--- a/internal/replica/pull.go
+++ b/internal/replica/pull.go
@@ -8,56 +8,56 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-// pulled is the outcome of an attempt to copy one source.
-type pulled struct {
-	// standing is what the source said of itself with its last record; nil if the
-	// copy is not whole or the source itself not recovered.
+// pullResult is the result of an attempt to copy one source.
+type pullResult struct {
+	// standing is the source's standing when its last record was copied. It is nil if the copy is
+	// incomplete or the source itself is not recovered.
 	standing *replicav1.Standing
-	// brought is set if any record came.
-	brought bool
+	// gotRecords is set if any record was received.
+	gotRecords bool
 }
 
-// pullAll copies the records of another member that are not here yet, part by part, and tells
-// of the first part.
-func (r *Replica) pullAll(ctx context.Context, group *replicav1.Group, other *replicav1.Member, identity *replicav1.Identity, copied *sourceCopy, first chan<- struct{}) (result pulled) {
-	r.announceTo(ctx, other, r.announcement(group))
+// pullRecords copies the records of another member that are missing here, chunk by chunk, and
+// signals the first chunk.
+func (r *Replica) pullRecords(ctx context.Context, group *replicav1.Group, source *replicav1.Member, identity *replicav1.Identity, progress *sourceCopy, firstChunk chan<- struct{}) (result pullResult) {
+	r.announceTo(ctx, source, r.announcement(group))
 	for {
-		part, err := r.pullPart(ctx, group, other, identity, copied)
+		chunk, err := r.pullChunk(ctx, group, source, identity, progress)
 		if err != nil {
 			if connect.CodeOf(err) == connect.CodeDeadlineExceeded {
-				copied.timedOut()
+				progress.shrinkChunk()
 			}
 			if ctx.Err() == nil {
-				eventCopyBroken.Log("partition", group.Partition, "seat", identity.Seat, "source", other.Node, "position", copied.after, "cause", err.Error())
+				eventCopyInterrupted.Log("partition", group.Partition, "seat", identity.Seat, "source", source.Node, "position", progress.position, "cause", err.Error())
 			}
 			return result
 		}
 		select {
-		case first <- struct{}{}:
+		case firstChunk <- struct{}{}:
 		default:
 		}
-		result.brought = result.brought || len(part.Records) > 0
-		if copied.take(part) {
+		result.gotRecords = result.gotRecords || len(chunk.Records) > 0
+		if progress.advance(chunk) {
 			continue
 		}
-		if part.Standing.Recovered {
-			result.standing = part.Standing
+		if chunk.Standing.Recovered {
+			result.standing = chunk.Standing
 		}
 		return result
 	}
 }
 
-// pullPart copies one part and writes it to the disk.
-func (r *Replica) pullPart(ctx context.Context, group *replicav1.Group, other *replicav1.Member, identity *replicav1.Identity, copied *sourceCopy) (*replicav1.PullResponse, error) {
-	call, cancel := context.WithTimeout(ctx, pullTimeout)
+// pullChunk copies one chunk and writes it to the disk.
+func (r *Replica) pullChunk(ctx context.Context, group *replicav1.Group, source *replicav1.Member, identity *replicav1.Identity, progress *sourceCopy) (*replicav1.PullResponse, error) {
+	callCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	response, err := r.quorum.ReplicaClient(other.Address).Pull(call, connect.NewRequest(&replicav1.PullRequest{
+	response, err := r.quorum.ReplicaClient(source.Address).Pull(callCtx, connect.NewRequest(&replicav1.PullRequest{
 		Epoch: group.Epoch, Seat: identity.Seat, Incarnation: identity.Incarnation, Claim: identity.Claim,
-		After: copied.after, MaxBytes: uint32(copied.partBytes), Partition: group.Partition,
+		After: progress.position, MaxBytes: uint32(progress.chunkBytes), Partition: group.Partition,
 	}))
 	if err != nil {
 		return nil, err
 	}
-	r.directory.ApplyPeerGroup(response.Msg.Standing.Group, other.Node)
+	r.directory.ApplyPeerGroup(response.Msg.Standing.Group, source.Node)
 	return response.Msg, r.state.write(response.Msg.Records...)
 }
--- a/internal/replica/reconcile.go
+++ b/internal/replica/reconcile.go
@@ -13,190 +13,193 @@
 )
 
 const (
-	announceEvery   = 400 * time.Millisecond
-	announceTimeout = 700 * time.Millisecond
-	reconcileEvery  = 300 * time.Millisecond
-	// shrinkAfter is how long nodes that could take a seat have to say that they are
-	// there before a group shrinks instead: two questions of lookForStandbys, and the
-	// time that the first may take. A group of two rests while one of them is away.
-	shrinkAfter = 2*reconcileEvery + announceTimeout
+	announceInterval  = 400 * time.Millisecond
+	announceTimeout   = 700 * time.Millisecond
+	reconcileInterval = 300 * time.Millisecond
+	// shrinkDelay is how long a group waits for standbys to respond before it shrinks instead. It
+	// covers two rounds of queryStandbys and the timeout of the first one. A group of two cannot
+	// writeRecord while one of its members is unavailable.
+	shrinkDelay = 2*reconcileInterval + announceTimeout
 )
 
-// announce tells the other members of each group that this node has a seat in, or lost one of, again
-// and again, that it is here and with which incarnation, and notes their answers.
-func (r *Replica) announce(ctx context.Context) {
-	for pause.For(ctx, announceEvery) {
+// runAnnouncements periodically announces this node and its incarnation to the other members of
+// each group in which it has a seat, or from which it was removed last, and records their answers.
+func (r *Replica) runAnnouncements(ctx context.Context) {
+	for pause.For(ctx, announceInterval) {
 		for _, group := range r.directory.Groups() {
-			if group != nil && speaksFor(group, r.options.Node) != nil {
+			if group != nil && announcedMember(group, r.options.Node) != nil {
 				r.announceGroup(ctx, group)
 			}
 		}
 	}
 }
 
-// speaksFor returns the member whose incarnation a node tells: its seat in the group, or the one
-// that it was removed from and that the others may still copy. It is nil where there is neither.
-func speaksFor(group *replicav1.Group, node string) *replicav1.Member {
-	if member := seatOf(group, node); member != nil || group.Removed.GetNode() != node {
+// announcedMember returns the member whose incarnation a node announces: the node's member in the
+// group, or the removed member if the node was removed last, because the others may still copy from
+// it. Otherwise it returns nil.
+func announcedMember(group *replicav1.Group, node string) *replicav1.Member {
+	if member := memberForNode(group, node); member != nil || group.Removed.GetNode() != node {
 		return member
 	}
 	return group.Removed
 }
 
-// announceGroup tells the other members of a group once that this node is here.
+// announceGroup announces this node once to the other members of a group.
 func (r *Replica) announceGroup(ctx context.Context, group *replicav1.Group) {
 	message := r.announcement(group)
-	for _, member := range speaking(group) {
+	for _, member := range announcingMembers(group) {
 		if member.Node != r.options.Node {
 			go r.announceTo(ctx, member, message)
 		}
 	}
 }
 
-// speaking returns the members that tell each other their incarnations: those of the group, and
-// the one that was removed last, which an empty one may copy.
-func speaking(group *replicav1.Group) []*replicav1.Member {
+// announcingMembers returns the members that announce their incarnations to each other: those of
+// the group, and the most recently removed one, from which an empty member may copy.
+func announcingMembers(group *replicav1.Group) []*replicav1.Member {
 	if group.Removed == nil {
 		return group.Members
 	}
 	return append(slices.Clone(group.Members), group.Removed)
 }
 
-// ownGroups returns the groups that this node has a seat in.
-func (r *Replica) ownGroups() (own []*replicav1.Group) {
+// ownGroups returns the groups in which this node has a seat.
+func (r *Replica) ownGroups() (groups []*replicav1.Group) {
 	for _, group := range r.directory.Groups() {
-		if group != nil && seatOf(group, r.options.Node) != nil {
-			own = append(own, group)
+		if group != nil && memberForNode(group, r.options.Node) != nil {
+			groups = append(groups, group)
 		}
 	}
-	return own
+	return groups
 }
 
-// announcementOf returns what a node tells the members of a group.
-func announcementOf(state *state, group *replicav1.Group, node string) *replicav1.AnnounceRequest {
+// newAnnouncement returns the announcement of a node to the members of a group.
+func newAnnouncement(state *state, group *replicav1.Group, node string) *replicav1.AnnounceRequest {
 	message := &replicav1.AnnounceRequest{Group: group, Node: node}
-	if identity := state.currentIdentity(group.Partition); identity != nil && speaksFor(group, node) != nil {
+	if identity := state.currentIdentity(group.Partition); identity != nil && announcedMember(group, node) != nil {
 		message.Seat, message.Incarnation = identity.Seat, identity.Incarnation
 	}
 	return message
 }
 
-// announcement is announcementOf for this node, with whether it is to stop.
+// announcement returns the announcement of this node, including whether it is stopping.
 func (r *Replica) announcement(group *replicav1.Group) *replicav1.AnnounceRequest {
-	message := announcementOf(r.state, group, r.options.Node)
+	message := newAnnouncement(r.state, group, r.options.Node)
 	message.Stopping = r.stopping.Load()
 	return message
 }
 
-// announceTo announces this node to another one, and takes what that says of itself.
+// announceTo announces this node to another one and processes the answer.
 func (r *Replica) announceTo(ctx context.Context, member *replicav1.Member, message *replicav1.AnnounceRequest) {
-	call, cancel := context.WithTimeout(ctx, announceTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	response, err := r.quorum.ReplicaClient(member.Address).Announce(call, connect.NewRequest(message))
+	response, err := r.quorum.ReplicaClient(member.Address).Announce(callCtx, connect.NewRequest(message))
 	if err != nil {
-		// Its silence is what counts; the next announcement follows.
+		// The missing contact is recorded by the failure detector. The next announcement is the
+		// retry.
 		return
 	}
 	standing := response.Msg.Standing
 	r.directory.ApplyPeerGroup(standing.Group, member.Node)
-	if answering := response.Msg.Node; answering != "" && answering != member.Node {
-		// A node that has come to the address of one that is gone does not speak for it.
+	if respondent := response.Msg.Node; respondent != "" && respondent != member.Node {
+		// Another node has taken over the address. Its answer says nothing about the member.
 		return
 	}
 	if response.Msg.Stopping {
 		r.peers.observeStopping(member.Node)
 		return
 	}
-	r.peers.observeKeepsSystem(member.Node, quorum.ReportsSystem(response.Header()))
+	r.peers.observeStoresSystemID(member.Node, quorum.ReportsSystem(response.Header()))
 	r.peers.observeStanding(member.Node, message.Group.GetPartition(), standing)
 }
 
-// reconcile brings the groups in line with the nodes that are there, again and
-// again, one change of each at a time.
-func (r *Replica) reconcile(ctx context.Context) {
-	began := time.Now()
-	for pause.For(ctx, reconcileEvery) {
-		r.peers.observeSelf()
-		if r.options.Bootstrap && r.timeToForm(time.Since(began)) {
-			r.form(ctx)
+// reconcileGroups periodically adapts the groups to the present nodes, with one change of each
+// group at a time.
+func (r *Replica) reconcileGroups(ctx context.Context) {
+	started := time.Now()
+	for pause.For(ctx, reconcileInterval) {
+		r.peers.checkSelfPause()
+		if r.options.Bootstrap && r.shouldFormGroups(time.Since(started)) {
+			r.formGroups(ctx)
 		}
-		if !r.storeAnswers() {
+		if !r.isStoreReachable() {
 			continue
 		}
 		r.retire(ctx)
-		r.formConfined(ctx)
-		own := r.ownGroups()
-		r.underReplicated.forget(own)
-		for _, group := range own {
-			r.improve(ctx, group)
+		r.formConfinedGroups(ctx)
+		ownGroups := r.ownGroups()
+		r.underReplicated.retainGroups(ownGroups)
+		for _, group := range ownGroups {
+			r.reconcileGroup(ctx, group)
 		}
 	}
 }
 
-// improve proposes a partition's next group, if there is a better one. Any member may propose a
-// change, but one that works and leaves without a successor hands over what it holds and does so itself.
-func (r *Replica) improve(ctx context.Context, group *replicav1.Group) {
-	seen := r.observe(group)
-	seen.exchanged = r.exchangeAfterRemoval(ctx, seen)
-	r.underReplicated.observe(seen, r.lookForStandbys(ctx, seen))
-	next := nextGroup(seen)
+// reconcileGroup proposes the next group of a partition if it has to change. Any member may propose
+// a change, except that a healthy member which leaves without a successor first pushes its records
+// to the others and then proposes the change itself.
+func (r *Replica) reconcileGroup(ctx context.Context, group *replicav1.Group) {
+	status := r.groupStatus(group)
+	status.exchangeComplete = r.exchangeAfterRemoval(ctx, status)
+	r.underReplicated.observe(status, r.queryStandbys(ctx, status))
+	next := nextGroup(status)
 	if next == nil {
-		next = namedGroup(seen, systemFor(group.Partition, r.directory.Groups()))
+		next = groupWithSystemID(status, systemIDFor(group.Partition, r.directory.Groups()))
 	}
 	if next == nil {
 		if group.Removed == nil {
-			r.proposals.settled(group.Partition)
+			r.proposals.clear(group.Partition)
 		}
 		return
 	}
-	switch leaving := handsOver(seen, next); {
+	switch leaving := selfRemovingMember(status, next); {
 	case leaving == nil:
-		if r.proposals.due(group, proposalRank(seen, r.options.Node)) {
-			r.propose(ctx, group, next, reasonFor(seen))
+		if r.proposals.isDue(group, proposalRank(status, r.options.Node)) {
+			r.propose(ctx, group, next, changeReasonFor(status))
 		}
 	case leaving.Node == r.options.Node:
-		r.leaveGroup(ctx, seen, next)
+		r.removeSelf(ctx, status, next)
 	}
 }
 
-// leaveGroup proposes a group without this node, once nodes that could take its seat have had
-// their time and the others hold what it holds.
-func (r *Replica) leaveGroup(ctx context.Context, seen observation, next *replicav1.Group) {
-	if !r.proposals.wantedFor(seen.group, shrinkAfter) && len(standbys(seen)) > 0 {
+// removeSelf proposes a group without this node. It first waits for standbys to respond, and pushes
+// its records to the other members.
+func (r *Replica) removeSelf(ctx context.Context, status groupStatus, next *replicav1.Group) {
+	if !r.proposals.pendingFor(status.group, shrinkDelay) && len(standbyCandidates(status)) > 0 {
 		return
 	}
-	if r.handOver(ctx, seen.group, seen.group.Members) {
-		r.propose(ctx, seen.group, next, reasonFor(seen))
+	if r.pushRecords(ctx, status.group, status.group.Members) {
+		r.propose(ctx, status.group, next, changeReasonFor(status))
 	}
 }
 
-// lookForStandbys asks nodes that could take a seat whether they are there, if one is
-// wanted, and returns their names. Nodes without a seat announce nothing to the members.
-func (r *Replica) lookForStandbys(ctx context.Context, seen observation) (asked []string) {
+// queryStandbys announces this node to possible standbys if the group needs one, and returns their
+// names. A node without a seat sends no announcements itself, so it has to be queried.
+func (r *Replica) queryStandbys(ctx context.Context, status groupStatus) (queried []string) {
 	switch {
-	case wantsSeat(seen):
-	case !r.mayTakeMore(seen):
-		r.standbys.end(seen.group.Partition)
+	case needsStandby(status):
+	case !r.shouldSeekGrowth(status):
+		r.standbySearch.reset(status.group.Partition)
 		return nil
-	case !r.standbys.growthDue(seen.group.Partition):
+	case !r.standbySearch.growthDue(status.group.Partition):
 		return nil
 	}
-	message := &replicav1.AnnounceRequest{Group: seen.group, Node: r.options.Node, Stopping: r.stopping.Load()}
-	for _, node := range r.standbys.next(seen.group.Partition, standbys(seen), seen.healthy) {
-		asked = append(asked, node.Node)
+	message := &replicav1.AnnounceRequest{Group: status.group, Node: r.options.Node, Stopping: r.stopping.Load()}
+	for _, node := range r.standbySearch.next(status.group.Partition, standbyCandidates(status), status.isHealthy) {
+		queried = append(queried, node.Node)
 		go r.announceTo(ctx, &replicav1.Member{Node: node.Node, Address: node.Address}, message)
 	}
-	return asked
+	return queried
 }
 
-// wantsSeat reports whether a group has fewer members than are wanted, or one of them leaves. Every
-// member looks for nodes then, at each look.
-func wantsSeat(seen observation) bool {
-	return nextDeparture(seen) != nil || len(seen.group.Members) < wantedSeats(seen.group)
+// needsStandby reports whether a group has fewer members than desired, or a member leaves. In that
+// case every member queries standbys in every round.
+func needsStandby(status groupStatus) bool {
+	return nextDeparture(status) != nil || len(status.group.Members) < desiredSeats(status.group)
 }
 
-// mayTakeMore reports whether this node is the one that looks for nodes by which a group could have
-// more members than are wanted.
-func (r *Replica) mayTakeMore(seen observation) bool {
-	return len(seen.group.Members) < maxSeats && proposalRank(seen, r.options.Node) == 0
+// shouldSeekGrowth reports whether this node is the member that queries standbys for growth beyond
+// the desired size.
+func (r *Replica) shouldSeekGrowth(status groupStatus) bool {
+	return len(status.group.Members) < maxSeats && proposalRank(status, r.options.Node) == 0
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -30,149 +30,151 @@
 )
 
 const (
-	dialTimeout = 400 * time.Millisecond
-	userTimeout = 900 * time.Millisecond
-	// peerConnections are kept to each other replica at most.
-	peerConnections = 16
-	// keepWorkersEvery is how often the list of workers is written at most.
-	keepWorkersEvery = 500 * time.Millisecond
-	compactEvery     = 5 * time.Second
-	// maxMessageBytes bounds one message of the group.
+	dialTimeout    = 400 * time.Millisecond
+	tcpUserTimeout = 900 * time.Millisecond
+	// maxPeerConnections bounds the connections to each other replica.
+	maxPeerConnections = 16
+	// workerWriteInterval is the minimum interval between writes of the worker list.
+	workerWriteInterval = 500 * time.Millisecond
+	compactInterval     = 5 * time.Second
+	// maxMessageBytes bounds one message between replicas and their clients.
 	maxMessageBytes = 64 << 20
 )
 
-// Options set up a replica.
+// Options configures a replica.
 type Options struct {
-	// Node is this machine's name, Zone its zone.
+	// Node is the name of this machine and Zone its zone.
 	Node, Zone string
 	// Address is the IP and port that the service listens on.
 	Address string
-	// DataFolder is the data folder.
+	// DataFolder is the path of the data folder.
 	DataFolder string
-	// Files replaces Folder, for tests.
+	// Files replaces Folder in tests.
 	Files recordlog.FileSystem
 	// Bootstrap is set only when the whole system starts for the first time.
 	Bootstrap bool
-	// Seeds are addresses of replicas that may be stale.
+	// Seeds are addresses of replicas to contact first. They may be outdated.
 	Seeds []string
-	// MetricsAddress is the IP:port for metrics; empty serves none.
+	// MetricsAddress is the IP and port of the metrics endpoint. If it is empty, no metrics are
+	// served.
 	MetricsAddress string
-	// TenantTolerance is by how much tenants' requests may exceed their limits.
+	// TenantTolerance is how far requests of a tenant may exceed its limit.
 	TenantTolerance quota.Tolerance
-	// RegionOf names the region of each zone.
+	// RegionOf maps each zone to its region.
 	RegionOf map[string]string
-	// WatchZoneDrains is set where operators may drain zones.
+	// WatchZoneDrains is set if operators may drain zones.
 	WatchZoneDrains bool
-	// ColdWorkerTolerance is by how much requests may exceed what a cold worker bears.
+	// ColdWorkerTolerance is how far requests may exceed the capacity of a cold worker.
 	ColdWorkerTolerance quota.Tolerance
-	// ToleratedZoneFailures is how many zones may be lost at once with service going on.
+	// ToleratedZoneFailures is the number of zones that may fail at once without interrupting
+	// service.
 	ToleratedZoneFailures int
-	// ShutdownGracePeriod is how long a planned stop may take.
+	// ShutdownGracePeriod is the time that a graceful stop may take.
 	ShutdownGracePeriod time.Duration
-	// DisabledMechanisms are mechanisms that an experiment leaves out.
+	// DisabledMechanisms are mechanisms that an experiment turns off.
 	DisabledMechanisms mechanism.Disabled
 }
 
-// Replica is a running replica.
+// Replica is one replica process.
 type Replica struct {
 	options         Options
-	objects         directory.Store
+	store           directory.Store
 	directory       *directory.State
-	feed            *directory.Watcher
-	followers       *followed
+	watcher         *directory.Watcher
+	nodes           *nodeRegistry
 	peers           *failureDetector
 	quorum          *quorum.Client
-	relay           *quorum.DirectoryPoller
+	poller          *quorum.DirectoryPoller
 	state           *state
-	grants          *grants
+	grants          *grantAllocator
 	underReplicated *underReplicatedGroups
 	seeds           atomic.Pointer[[]string]
-	// stopping is set once this process is to stop.
+	// stopping is set once this process has been told to stop.
 	stopping atomic.Bool
-	// process names this process apart from all others.
-	process string
-	// unproven holds groups that peers offered while the own system is not known.
-	unproven chan *replicav1.Group
+	// processID is a random ID of this process.
+	processID string
+	// unverifiedGroups queues groups that peers offered while this node's system is unknown.
+	unverifiedGroups chan *replicav1.Group
 
-	// copies holds a token for each seat that is being filled.
-	copies chan struct{}
+	// copySlots limits the number of seats that are filled at a time.
+	copySlots chan struct{}
 
-	// The fields below belong to the loop of reconcile.
-	proposals *proposals
-	standbys  *standbySearch
-	handOvers map[handOverKey]handOver
-	exchanges map[uint32]*exchange
-	retiring  bool
-	retired   bool
+	// The fields below are used only by the goroutine of reconcileGroups.
+	proposals           *proposals
+	standbySearch       *standbySearch
+	pushes              map[pushTarget]pushProgress
+	exchanges           map[uint32]*exchange
+	retirementStarted   bool
+	retirementCompleted bool
 }
 
-// New opens the data folder.
-func New(options Options, objects directory.Store) (*Replica, error) {
-	opened, err := openRecords(options)
+// New opens the data folder and returns a replica that is not running yet.
+func New(options Options, store directory.Store) (*Replica, error) {
+	storage, err := openStorage(options)
 	if err != nil {
 		return nil, err
 	}
 	replica := &Replica{
-		options: options, objects: objects, state: opened, followers: newFollowed(), peers: newFailureDetector(time.Now),
-		grants:          newGrants(options.Node, time.Now, options.TenantTolerance, options.ColdWorkerTolerance),
-		underReplicated: newUnderReplicatedGroups(time.Now), copies: make(chan struct{}, maxCopies), proposals: newProposals(time.Now), standbys: newStandbySearch(), handOvers: make(map[handOverKey]handOver), exchanges: make(map[uint32]*exchange),
-		process: rand.Text(), unproven: make(chan *replicav1.Group, maxUnproven),
+		options: options, store: store, state: storage, nodes: newNodeRegistry(), peers: newFailureDetector(time.Now),
+		grants:          newGrantAllocator(options.Node, time.Now, options.TenantTolerance, options.ColdWorkerTolerance),
+		underReplicated: newUnderReplicatedGroups(time.Now), copySlots: make(chan struct{}, maxConcurrentCopies), proposals: newProposals(time.Now), standbySearch: newStandbySearch(), pushes: make(map[pushTarget]pushProgress), exchanges: make(map[uint32]*exchange),
+		processID: rand.Text(), unverifiedGroups: make(chan *replicav1.Group, maxUnverifiedGroups),
 	}
 	logChanges := directory.LogChanges()
 	replica.directory = directory.NewState(time.Now, func(view *directory.View, update directory.WorkerUpdate) {
 		logChanges(view, update)
-		replica.grants.take(view.Groups)
-		replica.keep(view)
-		replica.keepZoneDrains(view)
+		replica.grants.updateSeats(view.Groups)
+		replica.persistConfiguration(view)
+		replica.persistZoneDrains(view)
 	})
-	replica.directory.SetUnverifiedGroupHandler(replica.holdUnproven)
-	replica.feed = directory.NewWatcher(objects, replica.directory, directory.ReplicaTimings)
+	replica.directory.SetUnverifiedGroupHandler(replica.queueUnverifiedGroup)
+	replica.watcher = directory.NewWatcher(store, replica.directory, directory.ReplicaTimings)
 	if options.WatchZoneDrains {
-		// The watch of the configuration is short, and cuts this one short where it fails.
-		replica.feed.EnableZoneDrains(directory.WatchTimeout)
+		// The configuration watch uses a short wait, and ends this watch early when it fails.
+		replica.watcher.EnableZoneDrains(directory.WatchTimeout)
 	}
-	client := transport.NewPeerClient(transport.Options{DialTimeout: dialTimeout, UserTimeout: userTimeout}, peerConnections)
-	replica.quorum = quorum.NewClient(replica.directory, options.Zone, client)
-	replica.quorum.SetTopology(replica.places())
+	peerClient := transport.NewPeerClient(transport.Options{DialTimeout: dialTimeout, UserTimeout: tcpUserTimeout}, maxPeerConnections)
+	replica.quorum = quorum.NewClient(replica.directory, options.Zone, peerClient)
+	replica.quorum.SetTopology(replica.topology())
 	replica.quorum.SetZoneRegions(options.RegionOf)
 	replica.seeds.Store(&options.Seeds)
-	replica.relay = quorum.NewDirectoryPoller(replica.quorum, replica.directory, quorum.DirectoryPollerOptions{
-		Seeds: options.Seeds, Nodes: replica.followers, Sources: replica.otherWatchers,
+	replica.poller = quorum.NewDirectoryPoller(replica.quorum, replica.directory, quorum.DirectoryPollerOptions{
+		Seeds: options.Seeds, Nodes: replica.nodes, Sources: replica.otherWatchers,
 	})
-	replica.offerKept()
+	replica.restoreDirectory()
 	return replica, nil
 }
 
-// places returns how far zones are from this replica's.
-func (r *Replica) places() distance.Topology {
-	return distance.NewTopology(r.options.Zone, r.regions())
+// topology returns the distances from this replica's zone to the others.
+func (r *Replica) topology() distance.Topology {
+	return distance.NewTopology(r.options.Zone, r.distanceRegions())
 }
 
-// regions names the region of each zone, for what depends on distance.
-func (r *Replica) regions() map[string]string {
+// distanceRegions returns the region of each zone, or nil if the distance mechanism is disabled.
+func (r *Replica) distanceRegions() map[string]string {
 	if r.options.DisabledMechanisms.Has(mechanism.RegionPreference) {
 		return nil
 	}
 	return r.options.RegionOf
 }
 
-// SetSeeds puts changed seeds in force.
+// SetSeeds replaces the seed addresses.
 func (r *Replica) SetSeeds(seeds []string) {
 	r.seeds.Store(&seeds)
-	r.relay.SetSeeds(seeds)
+	r.poller.SetSeeds(seeds)
 }
 
-// openRecords opens the log of the data folder, or of what replaces it.
-func openRecords(options Options) (*state, error) {
+// openStorage opens the log in options.Files if they are set, and else in the data folder.
+func openStorage(options Options) (*state, error) {
 	if options.Files != nil {
 		return openState(options.Files)
 	}
-	return openFolder(options.DataFolder)
+	return openDataFolder(options.DataFolder)
 }
 
-// openFolder opens the log. Of a damaged one nothing is used: the replica
-// starts empty and recovers from the others.
-func openFolder(folder string) (*state, error) {
+// openDataFolder opens the log. A damaged log is deleted completely: the replica starts empty and
+// recovers from the other members.
+func openDataFolder(folder string) (*state, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, &failure.DiskFailed{Cause: err}
 	}
@@ -181,14 +183,14 @@
 	if !errors.As(err, &damaged) {
 		return opened, err
 	}
-	eventFolder.Log("segment", damaged.Segment, "offset", damaged.Offset)
-	if err := removeAll(folder); err != nil {
+	eventFolderDamaged.Log("segment", damaged.Segment, "offset", damaged.Offset)
+	if err := removeFiles(folder); err != nil {
 		return nil, &failure.DiskFailed{Cause: err}
 	}
 	return openState(recordlog.Directory(folder))
 }
 
-func removeAll(folder string) error {
+func removeFiles(folder string) error {
 	names, err := recordlog.Directory(folder).List()
 	if err != nil {
 		return err
@@ -201,57 +203,58 @@
 	return nil
 }
 
-// offerKept puts the kept configuration, drained zones, workers and groups in force until
-// the platform tells newer ones.
-func (r *Replica) offerKept() {
+// restoreDirectory loads the stored configuration, drained zones, workers and groups into the
+// directory. They apply until the platform's store provides newer ones.
+func (r *Replica) restoreDirectory() {
 	for _, group := range r.state.currentGroups() {
 		r.directory.ApplyGroup(group, directory.SourceDisk)
 	}
 	r.directory.ApplyDrainedZoneList(r.state.drainedZones)
 	r.directory.ApplyWorkerList(r.state.workers.list())
-	kept := r.state.configuration
-	if kept == nil {
+	stored := r.state.configuration
+	if stored == nil {
 		return
 	}
 	configuration := &route.Configuration{}
-	if err := json.Unmarshal(kept.Document, configuration); err == nil {
+	if err := json.Unmarshal(stored.Document, configuration); err == nil {
 		r.directory.ApplyConfiguration(configuration)
 	}
 }
 
-// keep writes a newer configuration to the disk, in the background: the
+// persistConfiguration writes a newer configuration to the disk in the background, because the
 // platform's store has it too.
-func (r *Replica) keep(view *directory.View) {
+func (r *Replica) persistConfiguration(view *directory.View) {
 	if view.Table == nil {
 		return
 	}
 	r.state.mutex.Lock()
-	known := r.state.configuration != nil && r.state.configuration.Version >= view.Table.Version()
+	upToDate := r.state.configuration != nil && r.state.configuration.Version >= view.Table.Version()
 	r.state.mutex.Unlock()
-	if known {
+	if upToDate {
 		return
 	}
 	document, err := json.Marshal(view.Table.Configuration())
 	if err != nil {
 		return
 	}
-	kept := &replicav1.Configuration{Version: view.Table.Version(), Document: document}
-	r.writeInBackground(&replicav1.Record{Kind: &replicav1.Record_Configuration{Configuration: kept}})
+	encoded := &replicav1.Configuration{Version: view.Table.Version(), Document: document}
+	r.writeInBackground(&replicav1.Record{Kind: &replicav1.Record_Configuration{Configuration: encoded}})
 }
 
-// keepZoneDrains writes later drained zones to the disk, in the background and at once:
-// after a loss of power on all machines they must hold while the platform's store is down.
-func (r *Replica) keepZoneDrains(view *directory.View) {
+// persistZoneDrains writes newer drained zones to the disk, in the background but without delay.
+// After a power loss on all machines they must apply while the platform's store is unavailable.
+func (r *Replica) persistZoneDrains(view *directory.View) {
 	r.state.mutex.Lock()
-	known := r.state.drainedZones.GetRevision()
+	storedRevision := r.state.drainedZones.GetRevision()
 	r.state.mutex.Unlock()
-	if view.Drains.Revision > known {
+	if view.Drains.Revision > storedRevision {
 		list := &replicav1.DrainedZoneList{Revision: view.Drains.Revision, Zones: view.Drains.Zones()}
 		r.writeInBackground(&replicav1.Record{Kind: &replicav1.Record_DrainedZones{DrainedZones: list}})
 	}
 }
 
-// writeInBackground writes what the platform's store, or other replicas, have too.
+// writeInBackground writes a record that is also available from the platform's store or from other
+// replicas.
 func (r *Replica) writeInBackground(record *replicav1.Record) {
 	go func() {
 		if err := r.state.write(record); err != nil {
@@ -260,40 +263,41 @@
 	}()
 }
 
-// keepWorkers writes what has changed of the workers to the disk, and drained zones
-// that are not there yet: after a loss of power on all machines they are the only ones while
-// the platform's store is down.
-func (r *Replica) keepWorkers(ctx context.Context) {
-	for pause.For(ctx, keepWorkersEvery) {
-		// What the disk refused when it came is written now.
-		r.keepZoneDrains(r.directory.View())
+// runWorkerPersistence periodically writes changes of the worker list, and drained zones that are
+// not on the disk yet. After a power loss on all machines this copy is the only one while the
+// platform's store is unavailable.
+func (r *Replica) runWorkerPersistence(ctx context.Context) {
+	for pause.For(ctx, workerWriteInterval) {
+		// Retries a write that the disk rejected when the drain arrived.
+		r.persistZoneDrains(r.directory.View())
 		r.state.mutex.Lock()
-		kept := r.state.workers.revision
+		storedRevision := r.state.workers.revision
 		r.state.mutex.Unlock()
-		if r.directory.WorkersRevision() <= kept {
+		if r.directory.WorkersRevision() <= storedRevision {
 			continue
 		}
-		record := &replicav1.Record{Kind: &replicav1.Record_Workers{Workers: r.directory.WorkerChanges(kept)}}
+		record := &replicav1.Record{Kind: &replicav1.Record_Workers{Workers: r.directory.WorkerChanges(storedRevision)}}
 		if err := r.state.write(record); err != nil {
 			eventWriteFailed.Log("cause", err.Error())
 		}
 	}
 }
 
-// compact gives space back, again and again.
-func (r *Replica) compact(ctx context.Context) {
-	for pause.For(ctx, compactEvery) {
+// runCompaction compacts the log periodically.
+func (r *Replica) runCompaction(ctx context.Context) {
+	for pause.For(ctx, compactInterval) {
 		if err := r.state.compact(time.Now()); err != nil {
 			eventWriteFailed.Log("cause", err.Error())
 		}
 	}
 }
 
-// Run serves until stop ends, and then until others hold its seats, where any stand by.
+// Run serves until stop is canceled. It then waits until standbys, if there are any, have replaced
+// this node in its groups.
 func (r *Replica) Run(stop context.Context) error {
 	err := r.run(stop)
 	if err != nil {
-		eventEnded.Log("cause", err.Error())
+		eventFailed.Log("cause", err.Error())
 	}
 	return err
 }
@@ -301,44 +305,44 @@
 func (r *Replica) run(stop context.Context) error {
 	ctx, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	listener, err := transport.Listen(ctx, r.options.Address, userTimeout)
+	listener, err := transport.Listen(ctx, r.options.Address, tcpUserTimeout)
 	if err != nil {
 		return &failure.Internal{Cause: err}
 	}
 	mux := http.NewServeMux()
-	bound := newAdmission(mux)
+	limiter := newInFlightLimiter(mux)
 	registry := telemetry.NewRegistry()
-	r.defineGauges(registry, bound)
+	r.registerGauges(registry, limiter)
 	r.quorum.MeterTraffic(traffic.New(registry))
 	if err := telemetry.Serve(ctx, r.options.MetricsAddress, registry, r.readiness); err != nil {
 		return err
 	}
 	handler := &service{
-		node: r.options.Node, stopping: r.stopping.Load, state: r.state, directory: r.directory, peers: r.peers, roster: newRoster(time.Now).among(r.regions()), age: r.storeReportAge, followers: r.followers,
-		observations: newObservations(time.Now), grants: r.grants,
+		node: r.options.Node, stopping: r.stopping.Load, state: r.state, directory: r.directory, peers: r.peers, gateways: newGatewayRegistry(time.Now).withRegions(r.distanceRegions()), storeViewAge: r.storeViewAge, nodes: r.nodes,
+		workerObservations: newWorkerObservations(time.Now), grants: r.grants,
 	}
-	handling := append(transport.HandlerOptions(maxMessageBytes), connect.WithInterceptors(quorum.VerifyCallerSystem(r.directory), identifyProcess(r.process)))
-	mux.Handle(replicav1connect.NewReplicaServiceHandler(handler, handling...))
-	server := &http.Server{Handler: bound, WriteTimeout: transport.PeerWriteTimeout}
+	handlerOptions := append(transport.HandlerOptions(maxMessageBytes), connect.WithInterceptors(quorum.VerifyCallerSystem(r.directory), processIDInterceptor(r.processID)))
+	mux.Handle(replicav1connect.NewReplicaServiceHandler(handler, handlerOptions...))
+	server := &http.Server{Handler: limiter, WriteTimeout: transport.PeerWriteTimeout}
 	go func() {
 		<-stop.Done()
-		r.handSeatsOver(ctx)
+		r.awaitReplacements(ctx)
 		cancel()
 		server.Close()
 	}()
-	go r.followStore(ctx)
+	go r.runStoreWatch(ctx)
 	go func() {
 		r.discoverSystem(ctx)
-		r.relay.Run(ctx)
+		r.poller.Run(ctx)
 	}()
-	go r.keepWorkers(ctx)
-	go r.compact(ctx)
-	go r.grants.sweep(ctx)
-	go r.returnLoans(ctx)
+	go r.runWorkerPersistence(ctx)
+	go r.runCompaction(ctx)
+	go r.grants.runCleanup(ctx)
+	go r.runLoanReturns(ctx)
 	go r.register(ctx)
-	go r.announce(ctx)
-	go r.takeSeats(ctx)
-	go r.reconcile(ctx)
+	go r.runAnnouncements(ctx)
+	go r.reconcileSeats(ctx)
+	go r.reconcileGroups(ctx)
 	eventStarted.Log("node", r.options.Node, "address", r.options.Address, "bootstrap", r.options.Bootstrap)
 	err = server.Serve(listener)
 	eventStopped.Log("node", r.options.Node)
--- a/internal/replica/retire.go
+++ b/internal/replica/retire.go
@@ -8,104 +8,107 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-// retire empties this node when that is asked. The node may go once it holds no
-// seat and what it holds is not needed any more.
+// retire processes a requested retirement of this node. It marks the retirement as started in the
+// store, and as completed once the node holds no seat and its records are not needed any more.
+// reconcileGroup moves the seats.
 func (r *Replica) retire(ctx context.Context) {
-	retirement, asked := r.followers.retirement(r.options.Node)
-	if !asked || retirement.Completed || r.retired {
+	retirement, found := r.nodes.retirement(r.options.Node)
+	if !found || retirement.Completed || r.retirementCompleted {
 		return
 	}
-	if !r.retiring {
-		r.retiring = r.objects.SetRetirement(ctx, r.options.Node, false) == nil
+	if !r.retirementStarted {
+		r.retirementStarted = r.store.SetRetirement(ctx, r.options.Node, false) == nil
 	}
 	groups := r.directory.Groups()
-	if missing(groups) || len(r.ownGroups()) > 0 || r.state.owesLoans() {
+	if lacksUnconfinedGroup(groups) || len(r.ownGroups()) > 0 || r.state.hasUnreturnedLoans() {
 		return
 	}
 	for partition, group := range groups {
 		if group == nil && r.state.currentIdentity(uint32(partition)) != nil {
-			// It was formed, and is not known here yet.
+			// The group exists but is not known here yet.
 			return
 		}
-		if group != nil && !r.emptied(ctx, group) {
+		if group != nil && !r.isReleasedFrom(ctx, group) {
 			return
 		}
 	}
-	// It would be taken for one that stands by for as long as its last word counts.
+	// The other nodes would otherwise use this node as a standby for as long as its last contact
+	// counts.
 	r.stopping.Store(true)
 	r.announceStopping(ctx)
-	if err := r.objects.SetRetirement(ctx, r.options.Node, true); err == nil {
-		r.retired = true
+	if err := r.store.SetRetirement(ctx, r.options.Node, true); err == nil {
+		r.retirementCompleted = true
 		eventRetired.Log("node", r.options.Node)
 	}
 }
 
-// emptied reports whether this node, which holds no seat of a group, may go: it never
-// held one, or the node that took its seat holds everything that the seat held, or
-// the members have exchanged what they hold since its seat was removed.
-func (r *Replica) emptied(ctx context.Context, group *replicav1.Group) bool {
+// isReleasedFrom reports whether a group no longer needs this node, which holds no seat in it. That
+// is so if the node never held a seat, if its successor holds all records of the seat, or if the
+// members have exchanged their records after the removal of its seat.
+func (r *Replica) isReleasedFrom(ctx context.Context, group *replicav1.Group) bool {
 	if r.state.currentIdentity(group.Partition) == nil {
 		return true
 	}
 	if group.Removed.GetNode() == r.options.Node {
-		// A member that loses its disk before the others have exchanged what they hold needs this node.
+		// A member that loses its disk before the members have exchanged their records needs this
+		// node.
 		return false
 	}
-	if passedSeatOf(group, r.options.Node) != nil {
-		return r.transferDone(ctx, group)
+	if successorOf(group, r.options.Node) != nil {
+		return r.confirmAllInSync(ctx, group)
 	}
 	return true
 }
 
-// transferDone asks the members of a group that this node has left whether each holds
-// everything that its seat held.
-func (r *Replica) transferDone(ctx context.Context, group *replicav1.Group) bool {
+// confirmAllInSync queries the members of a group that this node has left, and reports whether all
+// of them are in sync.
+func (r *Replica) confirmAllInSync(ctx context.Context, group *replicav1.Group) bool {
 	message := r.announcement(group)
 	for _, member := range group.Members {
 		r.announceTo(ctx, member, message)
 	}
-	return allSettled(r.observe(group))
+	return allInSync(r.groupStatus(group))
 }
 
-// handOverKey names a member of a partition's group.
-type handOverKey struct {
+// pushTarget identifies a member of a partition's group.
+type pushTarget struct {
 	partition uint32
 	node      string
 }
 
-// handOver is how far a member has got this node's records.
-type handOver struct {
-	// incarnation is the life of the member's folder that got them.
+// pushProgress is how far this node's records were pushed to a member.
+type pushProgress struct {
+	// incarnation is the member's incarnation that received the records.
 	incarnation uint64
-	// position is the one after the last of them.
-	position uint64
+	// nextPosition is the position after the last pushed record.
+	nextPosition uint64
 }
 
-// handOver writes all records that this node has of a partition to members of its group. An
-// attempt goes on where the one before it stopped.
-func (r *Replica) handOver(ctx context.Context, group *replicav1.Group, members []*replicav1.Member) bool {
+// pushRecords writes all records that this node has of a partition to the given members, and reports
+// whether that is complete. An attempt resumes where the previous one stopped.
+func (r *Replica) pushRecords(ctx context.Context, group *replicav1.Group, members []*replicav1.Member) bool {
 	if err := r.state.write(groupRecord(group)); err != nil {
 		return false
 	}
 	for _, member := range members {
-		if member.Node != r.options.Node && !r.handOverTo(ctx, group, member) {
+		if member.Node != r.options.Node && !r.pushRecordsTo(ctx, group, member) {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *Replica) handOverTo(ctx context.Context, group *replicav1.Group, member *replicav1.Member) bool {
-	key := handOverKey{partition: group.Partition, node: member.Node}
-	done := r.handOvers[key]
+func (r *Replica) pushRecordsTo(ctx context.Context, group *replicav1.Group, member *replicav1.Member) bool {
+	key := pushTarget{partition: group.Partition, node: member.Node}
+	progress := r.pushes[key]
 	for {
-		records, next, more, err := r.state.after(group.Partition, done.position, maxPullBytes)
+		records, next, more, err := r.state.recordsAfter(group.Partition, progress.nextPosition, maxChunkBytes)
 		if err != nil {
 			return false
 		}
-		call, cancel := context.WithTimeout(ctx, pullTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 		request := &replicav1.AppendRequest{Epoch: group.Epoch, Partition: group.Partition, Records: records}
-		response, err := r.quorum.ReplicaClient(member.Address).Append(call, connect.NewRequest(request))
+		response, err := r.quorum.ReplicaClient(member.Address).Append(callCtx, connect.NewRequest(request))
 		cancel()
 		if err != nil {
 			return false
@@ -115,16 +118,16 @@
 			r.directory.ApplyPeerGroup(standing.Group, member.Node)
 			return false
 		}
-		if done.incarnation != standing.Incarnation {
-			restart := done.position != 0
-			done = handOver{incarnation: standing.Incarnation}
+		if progress.incarnation != standing.Incarnation {
+			restart := progress.nextPosition != 0
+			progress = pushProgress{incarnation: standing.Incarnation}
 			if restart {
-				// What went to a former life of the member's folder is lost.
+				// The records sent to an earlier incarnation of the member are lost.
 				continue
 			}
 		}
-		done.position = next
-		r.handOvers[key] = done
+		progress.nextPosition = next
+		r.pushes[key] = progress
 		if !more {
 			return true
 		}
--- a/internal/replica/copy_test.go
+++ b/internal/replica/seatcopy_test.go
@@ -19,19 +19,18 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1/replicav1connect"
 )
 
-// flakySource passes on sourceParts parts, one record each, and refuses every second
-// call.
+// flakySource serves sourceChunks chunks of one record each, and fails every second call.
 type flakySource struct {
 	replicav1connect.UnimplementedReplicaServiceHandler
 	standing *replicav1.Standing
 
 	mutex sync.Mutex
 	calls int
-	// sent counts how often each part was passed on.
+	// sent counts how often each chunk was sent.
 	sent map[uint64]int
 }
 
-const sourceParts = 6
+const sourceChunks = 6
 
 func (s *flakySource) Announce(context.Context, *connect.Request[replicav1.AnnounceRequest]) (*connect.Response[replicav1.AnnounceResponse], error) {
 	return connect.NewResponse(&replicav1.AnnounceResponse{Standing: s.standing}), nil
@@ -42,22 +41,22 @@
 	defer s.mutex.Unlock()
 	s.calls++
 	if s.calls%2 == 0 {
-		return nil, connect.NewError(connect.CodeUnavailable, errors.New("broken off"))
+		return nil, connect.NewError(connect.CodeUnavailable, errors.New("interrupted"))
 	}
 	at := request.Msg.After
 	response := &replicav1.PullResponse{Life: 1, Standing: s.standing, Next: at}
-	if at < sourceParts {
+	if at < sourceChunks {
 		s.sent[at]++
-		response.Next, response.More = at+1, at+1 < sourceParts
+		response.Next, response.More = at+1, at+1 < sourceChunks
 		turn := &replicav1.Turn{Id: fmt.Sprintf("t%d", at), Output: make([]byte, 1000)}
 		response.Records = []*replicav1.Record{{Kind: &replicav1.Record_Turn{Turn: turn}}}
 	}
 	return connect.NewResponse(response), nil
 }
 
-// copier returns a replica that is to fill the last seat of a group, and the sources
-// behind the other seats.
-func copier(t *testing.T, seats int) (*Replica, *replicav1.Group, []*flakySource) {
+// newCopyingReplica returns a replica that fills the last seat of a group, and the sources at the
+// other seats.
+func newCopyingReplica(t *testing.T, seats int) (*Replica, *replicav1.Group, []*flakySource) {
 	group := &replicav1.Group{Epoch: 1, Target: uint32(seats)}
 	var sources []*flakySource
 	for seat := range seats {
@@ -76,44 +75,44 @@
 		member.Address = strings.TrimPrefix(server.URL, "http://")
 		sources = append(sources, source)
 	}
-	copying, err := New(Options{Node: fmt.Sprintf("n%d", seats-1), DataFolder: t.TempDir()}, nil)
+	replica, err := New(Options{Node: fmt.Sprintf("n%d", seats-1), DataFolder: t.TempDir()}, nil)
 	require.NoError(t, err)
-	t.Cleanup(func() { copying.state.log.Close() })
-	copying.directory.ApplyGroup(group, directory.SourceStore)
-	return copying, group, sources
+	t.Cleanup(func() { replica.state.log.Close() })
+	replica.directory.ApplyGroup(group, directory.SourceStore)
+	return replica, group, sources
 }
 
-// TestCopyResumesWhereItStopped: a copy that began anew after each break moved the
-// same records again and again, and kept its sources from their other work.
+// A copy that restarts after each interruption transfers the same records repeatedly and occupies
+// its sources.
 func TestCopyResumesWhereItStopped(t *testing.T) {
-	copying, group, sources := copier(t, 3)
+	replica, group, sources := newCopyingReplica(t, 3)
 	member := group.Members[2]
-	filling := &seat{replica: copying}
+	recovery := &seatRecovery{replica: replica}
 	for attempt := 0; ; attempt++ {
-		require.Less(t, attempt, 4*sourceParts, "the copy does not come to its end")
-		filling.fill(t.Context(), group, member)
-		if copying.state.currentIdentity(0).Recovered {
+		require.Less(t, attempt, 4*sourceChunks, "the copy does not finish")
+		recovery.step(t.Context(), group, member)
+		if replica.state.currentIdentity(0).Recovered {
 			break
 		}
 	}
 	for _, source := range sources {
-		for part, times := range source.sent {
-			require.Equal(t, 1, times, "part %d was passed on more than once", part)
+		for chunk, times := range source.sent {
+			require.Equal(t, 1, times, "chunk %d was sent more than once", chunk)
 		}
-		require.Len(t, source.sent, sourceParts)
+		require.Len(t, source.sent, sourceChunks)
 	}
 }
 
 func TestFirstCopyAttemptQueriesOnlyRequiredSources(t *testing.T) {
-	copying, group, sources := copier(t, 5)
-	(&seat{replica: copying}).fill(t.Context(), group, group.Members[4])
-	asked := 0
+	replica, group, sources := newCopyingReplica(t, 5)
+	(&seatRecovery{replica: replica}).step(t.Context(), group, group.Members[4])
+	queried := 0
 	for _, source := range sources {
 		if source.calls > 0 {
-			asked++
+			queried++
 		}
 	}
-	require.Equal(t, 3, asked)
+	require.Equal(t, 3, queried)
 }
 
 func TestSeatInTransferIsCopiedFromPreviousHolder(t *testing.T) {
@@ -121,54 +120,54 @@
 		{Seat: 0, Node: "a"}, {Seat: 1, Node: "b"}, {Seat: 2, Node: "d", Claim: 2, Predecessor: &replicav1.Predecessor{Node: "c", Claim: 1}},
 	}}
 	fresh := newSeatCopy()
-	wanted, spare := fresh.wanted(group, group.Members[2], except())
-	require.Len(t, spare, 2, "the others where it brings nothing soon")
+	wanted, spare := fresh.selectSources(group, group.Members[2], allExcept())
+	require.Len(t, spare, 2, "the other members are the fallback")
 	require.Len(t, wanted, 1)
 	require.Equal(t, "c", wanted[0].Node)
 
-	fresh.attemptFailed(false)
-	wanted, _ = fresh.wanted(group, group.Members[2], except())
-	require.Len(t, wanted, 3, "the others too once it was not enough")
+	fresh.recordFailure(false)
+	wanted, _ = fresh.selectSources(group, group.Members[2], allExcept())
+	require.Len(t, wanted, 3, "all sources are queried after an insufficient attempt")
 }
 
 func TestCopyBackoffGrowsWithoutProgress(t *testing.T) {
-	failing := newSeatCopy()
-	require.Zero(t, failing.pause())
-	var pauses []time.Duration
+	progress := newSeatCopy()
+	require.Zero(t, progress.backoff())
+	var delays []time.Duration
 	for range 8 {
-		failing.attemptFailed(false)
-		pauses = append(pauses, failing.pause())
+		progress.recordFailure(false)
+		delays = append(delays, progress.backoff())
 	}
-	require.Equal(t, firstCopyPause, pauses[0])
-	require.Equal(t, 2*firstCopyPause, pauses[1])
-	require.Equal(t, lastCopyPause, pauses[7])
+	require.Equal(t, minCopyBackoff, delays[0])
+	require.Equal(t, 2*minCopyBackoff, delays[1])
+	require.Equal(t, maxCopyBackoff, delays[7])
 
-	failing.attemptFailed(true)
-	require.Equal(t, firstCopyPause, failing.pause(), "one that brought records begins anew")
+	progress.recordFailure(true)
+	require.Equal(t, minCopyBackoff, progress.backoff(), "progress resets the backoff")
 }
 
 func TestChunkSizeShrinksOnTimeout(t *testing.T) {
-	slow := newSeatCopy().of("a")
-	require.Equal(t, maxPullBytes, slow.partBytes)
+	progress := newSeatCopy().source("a")
+	require.Equal(t, maxChunkBytes, progress.chunkBytes)
 	for range 10 {
-		slow.timedOut()
+		progress.shrinkChunk()
 	}
-	require.Equal(t, minPullBytes, slow.partBytes)
-	slow.take(&replicav1.PullResponse{Life: 1, Next: 1, More: true})
-	require.Equal(t, 2*minPullBytes, slow.partBytes)
+	require.Equal(t, minChunkBytes, progress.chunkBytes)
+	progress.advance(&replicav1.PullResponse{Life: 1, Next: 1, More: true})
+	require.Equal(t, 2*minChunkBytes, progress.chunkBytes)
 }
 
 func TestNewSourceGenerationIsCopiedFromStart(t *testing.T) {
-	copied := newSeatCopy().of("a")
-	require.True(t, copied.take(&replicav1.PullResponse{Life: 1, Next: 40, More: true}))
-	require.True(t, copied.take(&replicav1.PullResponse{Life: 2, Next: 60}), "positions of another life mean other records")
-	require.Zero(t, copied.after)
+	progress := newSeatCopy().source("a")
+	require.True(t, progress.advance(&replicav1.PullResponse{Life: 1, Next: 40, More: true}))
+	require.True(t, progress.advance(&replicav1.PullResponse{Life: 2, Next: 60}), "positions of another generation refer to other records")
+	require.Zero(t, progress.position)
 }
 
-// TestFirstAttemptFallsBackWhenPreviousHolderIsGone: waiting for it first cost
-// 0.8 s, in which the group did not bear another lost disk.
+// Waiting for the previous holder first takes 0.8 s, in which the group does not tolerate a further
+// disk loss.
 func TestFirstAttemptFallsBackWhenPreviousHolderIsGone(t *testing.T) {
-	copying, group, sources := copier(t, 3)
+	replica, group, sources := newCopyingReplica(t, 3)
 	release := make(chan struct{})
 	gone := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 	t.Cleanup(gone.Close)
@@ -176,20 +175,21 @@
 	member := group.Members[2]
 	member.Predecessor = &replicav1.Predecessor{Node: "gone", Address: strings.TrimPrefix(gone.URL, "http://")}
 	identity := &replicav1.Identity{Seat: member.Seat, Claim: member.Claim, Incarnation: 9}
-	filling := &seat{replica: copying, copy: newSeatCopy()}
-	attempt := filling.beginAttempt(t.Context(), group, member, identity)
+	recovery := &seatRecovery{replica: replica, copy: newSeatCopy()}
+	attempt := recovery.startAttempt(t.Context(), group, member, identity)
 	defer attempt.stop()
 	attempt.collect()
-	require.Len(t, attempt.asked, 3)
+	require.Len(t, attempt.queried, 3)
 	for _, source := range sources {
 		require.NotEmpty(t, source.sent)
 	}
 }
 
-// A copy waited 0.7 s and more for a member that had gone, beside one that holds everything.
+// Otherwise a copy waits 0.7 s or more for a failed member, although another source has all
+// records.
 func TestUnresponsiveSourceIsNotQueriedFirst(t *testing.T) {
-	group := oneGroup(nodes("a", "b", "c", "d"))
-	wanted, spare := newSeatCopy().wanted(group, group.Members[3], except("a"))
-	require.Equal(t, []string{"b", "c"}, nodesOf(wanted))
+	group := singlePartitionGroup(nodes("a", "b", "c", "d"))
+	wanted, spare := newSeatCopy().selectSources(group, group.Members[3], allExcept("a"))
+	require.Equal(t, []string{"b", "c"}, nodeNames(wanted))
 	require.Empty(t, spare)
 }
--- a/internal/replica/service.go
+++ b/internal/replica/service.go
@@ -15,24 +15,24 @@
 	"github.com/barleyshelf/barleyshelf/internal/route"
 )
 
-// service answers gateways and other replicas. It implements
+// service serves calls of gateways and other replicas. It implements
 // replicav1connect.ReplicaServiceHandler.
 type service struct {
-	// node is this replica's name.
+	// node is the name of this replica.
 	node string
-	// stopping reports whether this replica is to stop; nil is no.
+	// stopping reports whether this replica is stopping; nil means no.
 	stopping  func() bool
 	state     *state
 	directory *directory.State
 	peers     *failureDetector
-	roster    *roster
-	// age returns how old this replica's view of the platform's store is, or false
-	// if it has none.
-	age          func() (age time.Duration, known bool)
-	followers    *followed
-	observations *observations
-	grants       *grants
-	// configuration is the one in force, to be passed on.
+	gateways  *gatewayRegistry
+	// storeViewAge returns the age of this replica's view of the platform's store, and false if it
+	// has no view.
+	storeViewAge       func() (age time.Duration, known bool)
+	nodes              *nodeRegistry
+	workerObservations *workerObservations
+	grants             *grantAllocator
+	// configuration caches the encoded current configuration.
 	configuration encodedConfiguration
 }
 
@@ -51,7 +51,8 @@
 			return nil, connect.NewError(connect.CodeResourceExhausted, err)
 		}
 	}
-	// The standing after the write: what was learned meanwhile must show.
+	// The standing is read again after the write, so that the answer includes what this replica
+	// learned meanwhile.
 	response := &replicav1.AppendResponse{Standing: s.state.standing(partition, request.Msg.Epoch)}
 	s.state.mutex.Lock()
 	defer s.state.mutex.Unlock()
@@ -61,9 +62,9 @@
 	return connect.NewResponse(response), nil
 }
 
-// ReadChain returns a turn and those before it.
+// ReadChain returns a turn and its predecessors.
 func (s *service) ReadChain(_ context.Context, request *connect.Request[replicav1.ReadChainRequest]) (*connect.Response[replicav1.ReadChainResponse], error) {
-	turns, err := s.state.chain(request.Msg.Partition, request.Msg.Id)
+	turns, err := s.state.turnChain(request.Msg.Partition, request.Msg.Id)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeDataLoss, err)
 	}
@@ -71,8 +72,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// Pull passes records to a recovering replica, after its new incarnation is on
-// the disk here. One that asks under an older group may have lost the seat meanwhile.
+// Pull sends records to a recovering replica, after the incarnation of that replica is on this
+// disk. A caller with an older group is rejected: it may have lost its seat meanwhile.
 func (s *service) Pull(_ context.Context, request *connect.Request[replicav1.PullRequest]) (*connect.Response[replicav1.PullResponse], error) {
 	if known := s.state.currentGroup(request.Msg.Partition).GetEpoch(); known > request.Msg.Epoch {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, &StaleGroup{Epoch: request.Msg.Epoch, Known: known})
@@ -80,36 +81,37 @@
 	if err := s.state.write(incarnationRecord(request.Msg.Partition, request.Msg.Seat, request.Msg.Incarnation)); err != nil {
 		return nil, connect.NewError(connect.CodeResourceExhausted, err)
 	}
-	response := &replicav1.PullResponse{Life: s.state.life, Standing: s.state.standing(request.Msg.Partition, request.Msg.Epoch)}
+	response := &replicav1.PullResponse{Life: s.state.generation, Standing: s.state.standing(request.Msg.Partition, request.Msg.Epoch)}
 	var err error
-	response.Records, response.Next, response.More, err = s.state.after(request.Msg.Partition, request.Msg.After, partBytes(request.Msg.MaxBytes))
+	response.Records, response.Next, response.More, err = s.state.recordsAfter(request.Msg.Partition, request.Msg.After, chunkSize(request.Msg.MaxBytes))
 	if err != nil {
 		return nil, connect.NewError(connect.CodeDataLoss, err)
 	}
 	return connect.NewResponse(response), nil
 }
 
-// partBytes returns the size of a part of a copy; 0 is a caller that names none.
-func partBytes(wanted uint32) int {
-	if wanted == 0 {
-		return maxPullBytes
+// chunkSize returns the size limit of one chunk of a copy. A caller that names none (0) gets the
+// maximum.
+func chunkSize(requested uint32) int {
+	if requested == 0 {
+		return maxChunkBytes
 	}
-	return min(int(wanted), maxPullBytes)
+	return min(int(requested), maxChunkBytes)
 }
 
-// Announce takes another replica's group and incarnation.
+// Announce accepts another replica's group and incarnation.
 func (s *service) Announce(_ context.Context, request *connect.Request[replicav1.AnnounceRequest]) (*connect.Response[replicav1.AnnounceResponse], error) {
 	message := request.Msg
 	partition := message.Group.GetPartition()
 	newest := s.state.currentGroup(partition)
-	own := directory.SystemOf([]*replicav1.Group{newest, directory.AnyGroup(s.directory.Groups())})
+	ownSystem := directory.SystemOf([]*replicav1.Group{newest, directory.AnyGroup(s.directory.Groups())})
 	if newest == nil && !s.directory.AcceptsPeerGroups() {
 		s.directory.ApplyPeerGroup(message.Group, message.Node)
 		message = &replicav1.AnnounceRequest{Node: message.Node, Stopping: message.Stopping}
 	}
-	if message.Group != nil && !directory.AcceptsGroup(own, message.Group) {
+	if message.Group != nil && !directory.AcceptsGroup(ownSystem, message.Group) {
 		s.directory.ApplyPeerGroup(message.Group, message.Node)
-		return nil, connect.NewError(connect.CodeFailedPrecondition, &directory.ForeignSystem{Own: own, Other: message.Group.System})
+		return nil, connect.NewError(connect.CodeFailedPrecondition, &directory.ForeignSystem{Own: ownSystem, Other: message.Group.System})
 	}
 	if message.Group.GetEpoch() > newest.GetEpoch() {
 		newest = message.Group
@@ -118,7 +120,7 @@
 	if message.Group != nil {
 		records = append(records, groupRecord(message.Group))
 	}
-	if message.Incarnation != 0 && newest != nil && holdsSeat(newest, message) {
+	if message.Incarnation != 0 && newest != nil && senderHoldsSeat(newest, message) {
 		records = append(records, incarnationRecord(partition, message.Seat, message.Incarnation))
 	}
 	if message.Stopping {
@@ -133,39 +135,39 @@
 	return connect.NewResponse(&replicav1.AnnounceResponse{Node: s.node, Stopping: s.stopping != nil && s.stopping(), Standing: s.state.standing(partition, 0)}), nil
 }
 
-// holdsSeat reports whether the sender of an announcement holds the seat that it names
-// in a group. One that comes late may be of a seat that has moved on.
-func holdsSeat(group *replicav1.Group, message *replicav1.AnnounceRequest) bool {
-	member := speaksFor(group, message.Node)
+// senderHoldsSeat reports whether the sender of an announcement holds the named seat in the group.
+// A delayed announcement may name a seat that another node has taken over.
+func senderHoldsSeat(group *replicav1.Group, message *replicav1.AnnounceRequest) bool {
+	member := announcedMember(group, message.Node)
 	return member != nil && member.Seat == message.Seat
 }
 
-// Directory passes on what is newer than what the caller has. Where nothing is,
-// it waits for as long as the caller allows.
+// Directory returns everything that is newer than the caller's versions. If there is nothing, it
+// waits as long as the caller allows.
 func (s *service) Directory(ctx context.Context, request *connect.Request[replicav1.DirectoryRequest]) (*connect.Response[replicav1.DirectoryResponse], error) {
-	s.roster.note(request.Msg.Forwarder, request.Msg.Zone)
-	s.observations.add(request.Msg.Observations)
-	until := time.NewTimer(time.Duration(request.Msg.PatienceMs) * time.Millisecond)
-	defer until.Stop()
+	s.gateways.observe(request.Msg.Forwarder, request.Msg.Zone)
+	s.workerObservations.add(request.Msg.Observations)
+	timeout := time.NewTimer(time.Duration(request.Msg.PatienceMs) * time.Millisecond)
+	defer timeout.Stop()
 	for {
-		news, nodeChanged := s.directory.ViewChanged(), s.followers.changed(request.Msg.Nodes != nil)
-		response, err := s.newerThan(request.Msg)
+		changed, nodesChanged := s.directory.ViewChanged(), s.nodes.changeNotification(request.Msg.Nodes != nil)
+		response, err := s.changesSince(request.Msg)
 		if err != nil {
 			return nil, connect.NewError(connect.CodeInternal, err)
 		}
-		firstForwarders := request.Msg.ForwardersDigest == 0 && len(response.Forwarders) > 0
-		nodeNews := response.Nodes != nil || response.Retirements != nil
+		hasFirstForwarders := request.Msg.ForwardersDigest == 0 && len(response.Forwarders) > 0
+		hasNodeChanges := response.Nodes != nil || response.Retirements != nil
 		if response.Configuration != nil || response.Workers != nil || response.DrainedZones != nil ||
-			len(response.Groups) > 0 || firstForwarders || nodeNews {
-			response.Suspects = s.observations.suspects(s.directory.View().Workers)
+			len(response.Groups) > 0 || hasFirstForwarders || hasNodeChanges {
+			response.Suspects = s.workerObservations.suspects(s.directory.View().Workers)
 			return connect.NewResponse(response), nil
 		}
 		select {
-		case <-news:
-		case <-nodeChanged:
-		case <-until.C:
-			response.Forwarders = s.newForwarders(request.Msg)
-			response.Suspects = s.observations.suspects(s.directory.View().Workers)
+		case <-changed:
+		case <-nodesChanged:
+		case <-timeout.C:
+			response.Forwarders = s.changedForwarders(request.Msg)
+			response.Suspects = s.workerObservations.suspects(s.directory.View().Workers)
 			return connect.NewResponse(response), nil
 		case <-ctx.Done():
 			return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
@@ -173,69 +175,69 @@
 	}
 }
 
-// encodedConfiguration keeps the configuration in force as it is passed on, made once for all who
-// ask.
+// encodedConfiguration caches the current configuration in its wire format for all callers.
 type encodedConfiguration struct {
 	last atomic.Pointer[replicav1.Configuration]
 }
 
-// of returns a table's configuration. It is shared and must stay as it is.
-func (e *encodedConfiguration) of(table *route.Table) (*replicav1.Configuration, error) {
-	if last := e.last.Load(); last.GetVersion() == table.Version() {
-		return last, nil
+// encode returns the configuration of a table. The result is shared and must not be modified.
+func (e *encodedConfiguration) encode(table *route.Table) (*replicav1.Configuration, error) {
+	if cached := e.last.Load(); cached.GetVersion() == table.Version() {
+		return cached, nil
 	}
 	document, err := json.Marshal(table.Configuration())
 	if err != nil {
 		return nil, &failure.Internal{Cause: err}
 	}
-	made := &replicav1.Configuration{Version: table.Version(), Document: document}
-	e.last.Store(made)
-	return made, nil
+	encoded := &replicav1.Configuration{Version: table.Version(), Document: document}
+	e.last.Store(encoded)
+	return encoded, nil
 }
 
-// newerThan returns what the caller does not have.
-func (s *service) newerThan(known *replicav1.DirectoryRequest) (*replicav1.DirectoryResponse, error) {
+// changesSince returns everything that is newer than the versions in the request.
+func (s *service) changesSince(request *replicav1.DirectoryRequest) (*replicav1.DirectoryResponse, error) {
 	view := s.directory.View()
-	response := &replicav1.DirectoryResponse{Gateways: uint32(s.roster.count())}
-	if age, known := s.age(); known {
+	response := &replicav1.DirectoryResponse{Gateways: uint32(s.gateways.count())}
+	if age, ok := s.storeViewAge(); ok {
 		response.Heard, response.AgeMs = true, uint32(age.Milliseconds())
 	}
-	if view.Table != nil && view.Table.Version() > known.Version {
-		encoded, err := s.configuration.of(view.Table)
+	if view.Table != nil && view.Table.Version() > request.Version {
+		encoded, err := s.configuration.encode(view.Table)
 		if err != nil {
 			return nil, err
 		}
 		response.Configuration = encoded
 	}
-	if s.directory.WorkersRevision() > known.WorkersRevision {
-		response.Workers = s.directory.WorkerChanges(known.WorkersRevision)
+	if s.directory.WorkersRevision() > request.WorkersRevision {
+		response.Workers = s.directory.WorkerChanges(request.WorkersRevision)
 	}
-	response.DrainedZones = s.directory.DrainedZoneList(known.DrainedZonesRevision)
+	response.DrainedZones = s.directory.DrainedZoneList(request.DrainedZonesRevision)
 	for partition, group := range view.Groups {
 		var epoch uint64
-		if partition < len(known.Epochs) {
-			epoch = known.Epochs[partition]
+		if partition < len(request.Epochs) {
+			epoch = request.Epochs[partition]
 		}
 		if group.GetEpoch() > epoch {
 			response.Groups = append(response.Groups, group)
 		}
 	}
-	response.Forwarders = s.newForwarders(known)
-	if known.Nodes != nil {
-		response.Nodes = s.followers.nodesAfter(known.Nodes.Nodes)
-		response.Retirements = s.followers.retirementsAfter(known.Nodes.Retirements)
+	response.Forwarders = s.changedForwarders(request)
+	if request.Nodes != nil {
+		response.Nodes = s.nodes.nodesSince(request.Nodes.Nodes)
+		response.Retirements = s.nodes.retirementsSince(request.Nodes.Retirements)
 	}
 	return response, nil
 }
 
-// newForwarders returns the gateways that the caller is told of, if it knows others.
-func (s *service) newForwarders(known *replicav1.DirectoryRequest) []string {
-	if known.Forwarder == "" {
+// changedForwarders returns the gateways that the caller may forward calls through, or nil if it
+// knows them already.
+func (s *service) changedForwarders(request *replicav1.DirectoryRequest) []string {
+	if request.Forwarder == "" {
 		return nil
 	}
-	near := s.roster.near(known.Forwarder, known.Zone)
-	if quorum.ForwardersDigest(near) == known.ForwardersDigest {
+	forwarders := s.gateways.forwardersFor(request.Forwarder, request.Zone)
+	if quorum.ForwardersDigest(forwarders) == request.ForwardersDigest {
 		return nil
 	}
-	return near
+	return forwarders
 }
--- a/internal/replica/sources.go
+++ b/internal/replica/sources.go
@@ -7,8 +7,8 @@
 	"github.com/barleyshelf/barleyshelf/internal/quorum"
 )
 
-// recoverySources returns the other members that count and, while the seat is in
-// transfer, the node that held it before.
+// recoverySources returns the nodes that a member can copy from: the other voting members, the most
+// recently removed member, and the previous holder if the seat is in transfer.
 func recoverySources(group *replicav1.Group, member *replicav1.Member) []*replicav1.Member {
 	var sources []*replicav1.Member
 	for _, other := range group.Members {
@@ -20,14 +20,14 @@
 		sources = append(sources, group.Removed)
 	}
 	if inTransfer(member) && !quorum.IsJoining(member) {
-		sources = append(sources, holderBefore(member))
+		sources = append(sources, previousHolder(member))
 	}
 	return sources
 }
 
-// sourcesNeeded returns how many members an empty one must copy to hold everything that counts,
-// and how many sources where the member that was removed last is one of them: what has counted since
-// its removal lies with the others alone.
+// sourcesNeeded returns how many members an empty one must copy to hold all acknowledged records,
+// and how many sources it needs if the removed member is one of them. Records acknowledged since
+// the removal are held only by the other members.
 func sourcesNeeded(group *replicav1.Group) (members, withRemoved int) {
 	members = quorum.RequiredRecoverySources(group)
 	if group.Removed == nil {
@@ -37,12 +37,12 @@
 	return members, max(quorum.RecoveryQuorum(voters)+1, quorum.RecoveryQuorum(voters+1))
 }
 
-// enoughToRecover returns those standings of nodes that were copied whole after
-// which no acknowledged record of the seat can be missing, or nil.
-func enoughToRecover(group *replicav1.Group, member *replicav1.Member, standings []*replicav1.Standing) []*replicav1.Standing {
+// sufficientSources returns those of the completely copied standings after which no acknowledged
+// record of the seat can be missing, or nil.
+func sufficientSources(group *replicav1.Group, member *replicav1.Member, standings []*replicav1.Standing) []*replicav1.Standing {
 	var others []*replicav1.Standing
 	for _, standing := range standings {
-		if passesSeatOn(group, member, standing) {
+		if isPreviousHolder(group, member, standing) {
 			return []*replicav1.Standing{standing}
 		}
 		if standing.Member {
@@ -50,18 +50,18 @@
 		}
 	}
 	needed, withRemoved := sourcesNeeded(group)
-	if enough := chooseSources(group.Epoch, others, needed); enough != nil {
-		return enough
+	if chosen := chooseSources(group.Epoch, others, needed); chosen != nil {
+		return chosen
 	}
 	for _, standing := range standings {
-		if heldRemovedSeat(group, standing) {
+		if isRemovedHolder(group, standing) {
 			return chooseSources(group.Epoch, append(others, asMember(group, standing)), withRemoved)
 		}
 	}
 	return nil
 }
 
-// chooseSources returns so many standings that count together, or nil.
+// chooseSources returns the needed number of standings that count together, or nil.
 func chooseSources(epoch uint64, standings []*replicav1.Standing, needed int) (chosen []*replicav1.Standing) {
 	for _, i := range quorum.ChooseConsistent(epoch, standings, needed) {
 		chosen = append(chosen, standings[i])
@@ -69,9 +69,9 @@
 	return chosen
 }
 
-// heldRemovedSeat reports whether a standing is that of the member that was removed last, with
-// everything that its seat held. Since it knows of that, it acknowledges nothing any more.
-func heldRemovedSeat(group *replicav1.Group, standing *replicav1.Standing) bool {
+// isRemovedHolder reports whether a standing is that of the most recently removed member, with all
+// records of its seat. Because it knows about the removal, it acknowledges nothing more.
+func isRemovedHolder(group *replicav1.Group, standing *replicav1.Standing) bool {
 	return group.Removed != nil && !standing.Member && standing.Recovered && standing.Epoch >= group.Epoch &&
 		standing.Seat == group.Removed.Seat && standing.Claim == group.Removed.Claim
 }
@@ -83,31 +83,31 @@
 	return counted
 }
 
-// passesSeatOn reports whether a standing is that of the seat's holder before,
-// with everything that the seat held. Since it knows the group in which it has
-// lost the seat, it acknowledges nothing under an earlier one any more; and while
-// the seat is in transfer, no later holder has acknowledged anything.
-func passesSeatOn(group *replicav1.Group, member *replicav1.Member, standing *replicav1.Standing) bool {
-	before := member.Predecessor
+// isPreviousHolder reports whether a standing is that of the previous holder of a seat in transfer,
+// with all records of the seat. Because it knows the group in which it has lost the seat, it
+// acknowledges nothing more under an earlier one. While the seat is in transfer, no later holder
+// has acknowledged anything.
+func isPreviousHolder(group *replicav1.Group, member *replicav1.Member, standing *replicav1.Standing) bool {
+	predecessor := member.Predecessor
 	return inTransfer(member) && !quorum.IsJoining(member) && !standing.Member && standing.Recovered && standing.Epoch >= group.Epoch &&
-		standing.Seat == member.Seat && standing.Claim == before.Claim
+		standing.Seat == member.Seat && standing.Claim == predecessor.Claim
 }
 
-// seenBy returns what the members that were copied know of the other seats'
-// incarnations. A replica that forgot it would count answers of former lives.
-func seenBy(standings []*replicav1.Standing, partition, own uint32) []*replicav1.Record {
-	known := make(map[uint32]uint64)
+// incarnationRecordsFrom returns records of the incarnations of other seats that the copied members
+// have seen. A replica without them would count answers of earlier incarnations.
+func incarnationRecordsFrom(standings []*replicav1.Standing, partition, ownSeat uint32) []*replicav1.Record {
+	incarnations := make(map[uint32]uint64)
 	for _, standing := range standings {
 		for _, seen := range standing.Seen {
-			known[seen.Seat] = seen.Incarnation
+			incarnations[seen.Seat] = seen.Incarnation
 		}
 	}
 	for _, standing := range standings {
-		known[standing.Seat] = standing.Incarnation
+		incarnations[standing.Seat] = standing.Incarnation
 	}
-	delete(known, own)
-	records := make([]*replicav1.Record, 0, len(known))
-	for seat, incarnation := range known {
+	delete(incarnations, ownSeat)
+	records := make([]*replicav1.Record, 0, len(incarnations))
+	for seat, incarnation := range incarnations {
 		records = append(records, incarnationRecord(partition, seat, incarnation))
 	}
 	return records
--- a/internal/replica/standby.go
+++ b/internal/replica/standby.go
@@ -3,67 +3,66 @@
 import "github.com/barleyshelf/barleyshelf/internal/directory"
 
 const (
-	// standbysAsked is how many nodes are asked at first whether they can take a seat: some
-	// may be in the same trouble as the member that they are to replace.
-	standbysAsked = 3
-	// maxStandbysAsked bounds the nodes that are asked at a time. With reconcileEvery 24 of
-	// them make 80 small calls a second, for as long as a seat is empty.
-	maxStandbysAsked = 24
-	// growthLooks is at how many looks at a group that has all seats that are wanted nodes are asked
-	// once: one that comes has a seat well before users count on it, and those that have gone
-	// cost little.
-	growthLooks = 3
+	// initialStandbyQueries is the number of standbys queried in the first round. Some of them may
+	// be affected by the same failure as the member that they would replace.
+	initialStandbyQueries = 3
+	// maxStandbyQueries bounds the standbys queried per round. At reconcileInterval, 24 of them
+	// cause 80 small calls a second for as long as a seat is empty.
+	maxStandbyQueries = 24
+	// growthQueryPeriod is the number of rounds per query for a group that has all desired seats.
+	// Such a group finds a new standby long before the users rely on it, and nodes that are gone
+	// cost few calls.
+	growthQueryPeriod = 3
 )
 
-// standbySearch chooses the nodes that are asked whether they can take a seat. It is pure
-// and not safe for concurrent use.
+// standbySearch selects the standbys to query. It has no side effects and is not safe for
+// concurrent use.
 //
-// Machines that have gone for good stay registered, and nothing tells them from those that
-// are there but an answer. So each question goes to other nodes than the one before, and to
-// twice as many: a search that asked the best ones again and again left seats empty for ever
-// once three machines of a zone had gone, and the next lost disk ended service.
+// Machines that are gone stay registered, and only an answer distinguishes them from running ones.
+// Each round therefore queries other nodes than the previous one, and twice as many. A search that
+// repeatedly queried only the best candidates left seats empty forever after three machines of a
+// zone were gone, and the next disk loss ended service.
 type standbySearch struct {
-	// asked and width are, by partition, how many nodes were asked since the search began,
-	// and how many of them by the last question.
-	asked, width map[uint32]int
-	// looks are those at groups that have all seats that are wanted, by partition.
-	looks map[uint32]int
+	// queried is the number of nodes queried since the search started, and width the number queried
+	// in the last round, by partition.
+	queried, width map[uint32]int
+	// growthChecks counts the rounds in which the group had all desired seats, by partition.
+	growthChecks map[uint32]int
 }
 
 func newStandbySearch() *standbySearch {
-	return &standbySearch{asked: make(map[uint32]int), width: make(map[uint32]int), looks: make(map[uint32]int)}
+	return &standbySearch{queried: make(map[uint32]int), width: make(map[uint32]int), growthChecks: make(map[uint32]int)}
 }
 
-// next returns the nodes to ask now: those that have answered lately, whose word must stay
-// fresh, and the next ones of the others. able are the nodes that could take a seat.
-func (s *standbySearch) next(partition uint32, able []directory.Replica, alive func(node string) bool) (chosen []directory.Replica) {
-	var others []directory.Replica
-	for _, node := range able {
+// next returns the nodes to query now: healthy candidates, whose status must stay fresh, and the
+// next ones of the others. candidates are the nodes that could take a seat.
+func (s *standbySearch) next(partition uint32, candidates []directory.Replica, isHealthy func(node string) bool) (chosen []directory.Replica) {
+	var unresponsive []directory.Replica
+	for _, node := range candidates {
 		switch {
-		case !alive(node.Node):
-			others = append(others, node)
-		case len(chosen) < standbysAsked:
+		case !isHealthy(node.Node):
+			unresponsive = append(unresponsive, node)
+		case len(chosen) < initialStandbyQueries:
 			chosen = append(chosen, node)
 		}
 	}
-	width := min(max(standbysAsked, 2*s.width[partition]), maxStandbysAsked)
+	width := min(max(initialStandbyQueries, 2*s.width[partition]), maxStandbyQueries)
 	s.width[partition] = width
-	for range min(width, len(others)) {
-		chosen = append(chosen, others[s.asked[partition]%len(others)])
-		s.asked[partition]++
+	for range min(width, len(unresponsive)) {
+		chosen = append(chosen, unresponsive[s.queried[partition]%len(unresponsive)])
+		s.queried[partition]++
 	}
 	return chosen
 }
 
-// growthDue reports whether nodes are to be asked at this look at a group that has all seats that
-// are wanted.
+// growthDue reports whether to query standbys in this round for a group that has all desired seats.
 func (s *standbySearch) growthDue(partition uint32) bool {
-	s.looks[partition]++
-	return s.looks[partition]%growthLooks == 0
+	s.growthChecks[partition]++
+	return s.growthChecks[partition]%growthQueryPeriod == 0
 }
 
-// end forgets a search once no seat is to be taken.
-func (s *standbySearch) end(partition uint32) {
-	delete(s.asked, partition)
+// reset ends a search because no seat has to be filled.
+func (s *standbySearch) reset(partition uint32) {
+	delete(s.queried, partition)
 	delete(s.width, partition)
 }
