--- a/internal/replica/state.go
+++ b/internal/replica/state.go
@@ -1,5 +1,25 @@
-// Package replica is the process that keeps records on a disk: kept turns,
-// budgets, the last configuration and its place in the group of replicas.
+// Package replica implements the replica process. Replicas store turns, budgets and loans of the
+// system durably, in replication groups.
+//
+// The system's data is divided into partitions. Each partition is replicated by one group, and each
+// group is a list of members. A member holds a numbered seat in its group; when a node is replaced,
+// its successor takes over the same seat. Every change of a group increases its epoch. The epoch in
+// which a node took its seat is the member's claim.
+//
+// A data folder that starts to fill a seat draws a random incarnation, and starts a new one after a
+// disk loss. Together with the seat and the claim it is the folder's identity in the partition. A
+// standing is what a node reports about its seat: its epoch, its identity, whether it is recovered,
+// and which incarnations of other seats it has seen. Package quorum decides which standings count
+// together.
+//
+// A member is recovered when it holds all records that its seat held before. It is in sync when it
+// is recovered and reports the group's current epoch. A seat is in transfer while its new holder
+// has not received the records yet. A standby is a registered node without a seat in the group that
+// can take one.
+//
+// The platform's store is the store of the platform that the system runs on. It holds the groups,
+// the registered nodes and the configuration. A replica process that loses contact to it continues
+// to serve with the groups that it knows.
 package replica
 
 import (
@@ -16,47 +36,49 @@
 )
 
 const (
-	// minCompactBytes is the size below which a log is left as it is, and
-	// compactFactor how many times its live records it may grow to.
-	minCompactBytes = 32 << 20
-	compactFactor   = 3
-	// noPosition stands for records that are not the store's.
+	// minLogBytesToCompact is the log size below which no compaction runs. maxLogToLiveRatio is the
+	// ratio of log size to live records above which one runs.
+	minLogBytesToCompact = 32 << 20
+	maxLogToLiveRatio    = 3
+	// noPosition marks records that do not belong to a turn store.
 	noPosition = math.MaxUint64
-	// maxReads is how often a record that has moved is looked for.
-	maxReads = 3
-	// maxOwedBytes is how much of what the disk did not take may be waiting before
-	// new records are refused.
-	maxOwedBytes = 256 << 10
-	// maxCompacted bounds the segments that one compaction gives back.
-	maxCompacted = 4
+	// maxReadAttempts bounds the attempts to read a record that a compaction moves meanwhile.
+	maxReadAttempts = 3
+	// maxPendingBytes bounds the bytes that wait for a disk which rejects writes. Above it new
+	// records are refused.
+	maxPendingBytes          = 256 << 10
+	maxSegmentsPerCompaction = 4
 )
 
-// state is what the log says, and the log. Its methods are safe for concurrent
-// use; those that say so return only once the change is on the disk.
+// state is the log and the in-memory state that it describes. Its methods are safe for concurrent
+// use. Methods that write return after the change is on the disk.
 type state struct {
 	log *recordlog.Log
-	// life tells this process from an earlier one of the same folder.
-	life uint64
-	// compactFrom is the size below which the log is left as it is.
-	compactFrom int64
-	// now is the steady clock.
+	// generation is a random number drawn each time the log is opened. Positions in a copy are
+	// valid only within one generation.
+	generation uint64
+	// minCompactBytes is minLogBytesToCompact, unless a test changes it.
+	minCompactBytes int64
+	// now is the monotonic clock.
 	now func() time.Time
 
 	mutex         sync.Mutex
 	partitions    map[uint32]*partitionState
 	configuration *replicav1.Configuration
-	workers       keptWorkers
+	workers       persistedWorkers
 	drainedZones  *replicav1.DrainedZoneList
 }
 
-// openState reads the log. A folder that is empty or damaged gives a state
-// without an identity.
-func openState(files recordlog.FileSystem) (*state, error) { return openStateAt(files, time.Now) }
+// openState reads the log. An empty folder gives a state without an identity. For a damaged log it
+// returns an error of type recordlog.Damaged.
+func openState(files recordlog.FileSystem) (*state, error) {
+	return openStateWithClock(files, time.Now)
+}
 
-// openStateAt is openState with a clock.
-func openStateAt(files recordlog.FileSystem, now func() time.Time) (*state, error) {
+// openStateWithClock is openState with a given clock.
+func openStateWithClock(files recordlog.FileSystem, now func() time.Time) (*state, error) {
 	opened := &state{
-		life: rand.Uint64() | 1, compactFrom: minCompactBytes, now: now, partitions: make(map[uint32]*partitionState),
+		generation: rand.Uint64() | 1, minCompactBytes: minLogBytesToCompact, now: now, partitions: make(map[uint32]*partitionState),
 	}
 	log, err := recordlog.Open(files, func(data []byte, at recordlog.Position) error {
 		record := &replicav1.Record{}
@@ -73,17 +95,17 @@
 	return opened, err
 }
 
-// partition returns what is known of a partition. The mutex is held.
+// number returns the state of a partition and creates it if needed. The mutex must be held.
 func (s *state) partition(partition uint32) *partitionState {
-	known := s.partitions[partition]
-	if known == nil {
-		known = newPartitionState(partition, s.now)
-		s.partitions[partition] = known
+	p := s.partitions[partition]
+	if p == nil {
+		p = newPartitionState(partition, s.now)
+		s.partitions[partition] = p
 	}
-	return known
+	return p
 }
 
-// apply takes a record into memory and reports whether it changed anything.
+// apply applies a record to the state in memory and reports whether it changed anything.
 func (s *state) apply(record *replicav1.Record) bool {
 	switch kind := record.Kind.(type) {
 	case *replicav1.Record_Configuration:
@@ -92,7 +114,7 @@
 		}
 		s.configuration = kind.Configuration
 	case *replicav1.Record_Workers:
-		return s.workers.take(kind.Workers)
+		return s.workers.apply(kind.Workers)
 	case *replicav1.Record_DrainedZones:
 		if s.drainedZones.GetRevision() >= kind.DrainedZones.Revision {
 			return false
@@ -104,12 +126,11 @@
 	return true
 }
 
-// write applies records and returns once they, and all equal ones from before,
-// are on the disk. While the disk takes nothing, new records are refused before
-// they are applied.
+// writeRecord applies records and returns once they, and all equal records written earlier, are on the
+// disk. While the disk rejects writes, new records are refused before they are applied.
 func (s *state) write(records ...*replicav1.Record) error {
 	owed := s.log.UnwrittenBytes()
-	if owed > maxOwedBytes {
+	if owed > maxPendingBytes {
 		records = nil
 	}
 	wait, err := s.enqueue(records)
@@ -119,85 +140,86 @@
 	if err := wait(); err != nil {
 		return err
 	}
-	if owed > maxOwedBytes {
+	if owed > maxPendingBytes {
 		return &recordlog.WriteBacklog{Bytes: owed}
 	}
 	return nil
 }
 
-// placedRecord names a record of a store: its partition and its position there.
-type placedRecord struct {
+// recordRef identifies a record of a turn store by its partition and position.
+type recordRef struct {
 	partition uint32
 	position  uint64
 }
 
-// decide lets a decision rest on what is known of a partition, and returns once the
-// records that it writes, and all before them, are on the disk. While the disk takes
-// nothing, no decision is made.
-func (s *state) decide(partition uint32, decision func(known *partitionState, write func(*replicav1.Record))) error {
-	if owed := s.log.UnwrittenBytes(); owed > maxOwedBytes {
+// update runs a decision on the state of a partition while the mutex is held. It returns once the
+// records that the decision writes, and all earlier records, are on the disk. While the disk
+// rejects writes, the decision is not run.
+func (s *state) update(partition uint32, decision func(partitionState *partitionState, write func(*replicav1.Record))) error {
+	if owed := s.log.UnwrittenBytes(); owed > maxPendingBytes {
 		return &recordlog.WriteBacklog{Bytes: owed}
 	}
-	wait, err := s.enqueueWith(func(changes *changes) { decision(s.partition(partition), changes.add) })
+	wait, err := s.enqueueBatch(func(b *writeBatch) { decision(s.partition(partition), b.add) })
 	if err != nil {
 		return err
 	}
 	return wait()
 }
 
-// enqueue applies records and hands those that are new to the log, in one step.
+// enqueue applies records and passes those that changed the state to the log, as one atomic step.
 func (s *state) enqueue(records []*replicav1.Record) (wait func() error, err error) {
-	return s.enqueueWith(func(changes *changes) {
+	return s.enqueueBatch(func(b *writeBatch) {
 		for _, record := range records {
-			changes.add(record)
+			b.add(record)
 		}
 	})
 }
 
-// enqueueWith hands the changes that are made to the log, in one step with making them.
-func (s *state) enqueueWith(change func(*changes)) (wait func() error, err error) {
+// enqueueBatch runs apply and passes the records that it added to the log, as one atomic step.
+func (s *state) enqueueBatch(apply func(*writeBatch)) (wait func() error, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	made := &changes{state: s}
-	if change(made); made.err != nil {
-		return nil, made.err
+	b := &writeBatch{state: s}
+	if apply(b); b.err != nil {
+		return nil, b.err
 	}
-	return s.log.Enqueue(s.placed(made.written), made.encoded...), nil
+	return s.log.Enqueue(s.placeRecorder(b.refs), b.encoded...), nil
 }
 
-// changes are records that were applied and are to be written. The state's mutex is held.
-type changes struct {
+// writeBatch collects records that were applied and are to be written. The state's mutex must be
+// held.
+type writeBatch struct {
 	state   *state
 	encoded [][]byte
-	written []placedRecord
+	refs    []recordRef
 	err     error
 }
 
-// add applies a record and notes it for the log if it changed anything.
-func (c *changes) add(record *replicav1.Record) {
-	store := c.state.partition(record.Partition).store
+// add applies a record and adds it to the batch if it changed the state.
+func (b *writeBatch) add(record *replicav1.Record) {
+	store := b.state.partition(record.Partition).store
 	position := store.Next()
-	if c.err != nil || !c.state.apply(record) {
+	if b.err != nil || !b.state.apply(record) {
 		return
 	}
 	data, err := proto.Marshal(record)
 	if err != nil {
-		c.err = &failure.Internal{Cause: err}
+		b.err = &failure.Internal{Cause: err}
 		return
 	}
 	if store.Next() == position {
 		position = noPosition
 	}
-	c.encoded = append(c.encoded, data)
-	c.written = append(c.written, placedRecord{partition: record.Partition, position: position})
+	b.encoded = append(b.encoded, data)
+	b.refs = append(b.refs, recordRef{partition: record.Partition, position: position})
 }
 
-// placed returns a function that notes where records were written.
-func (s *state) placed(written []placedRecord) func([]recordlog.Position) {
+// placeRecorder returns a callback that stores where in the log the records were written.
+func (s *state) placeRecorder(refs []recordRef) func([]recordlog.Position) {
 	return func(places []recordlog.Position) {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		for i, record := range written {
+		for i, record := range refs {
 			if record.position != noPosition {
 				s.partition(record.partition).store.Placed(record.position, places[i])
 			}
@@ -205,29 +227,29 @@
 	}
 }
 
-// standing describes this replica's seat of a partition to a caller that knows an
-// epoch.
+// standing returns this replica's standing in a partition. It includes the group if the caller's
+// epoch is older.
 func (s *state) standing(partition uint32, epoch uint64) *replicav1.Standing {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.partition(partition).standing(epoch)
 }
 
-// records returns how many kept turns, reservations and settlements there are.
-func (s *state) records() (count int) {
+// recordCount returns the number of stored turns, reservations and settlements.
+func (s *state) recordCount() (count int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, each := range s.partitions {
-		count += each.store.Len()
+	for _, partition := range s.partitions {
+		count += partition.store.Len()
 	}
 	return count
 }
 
-// ownRecords returns what this replica knows of itself, the groups, the
-// configuration, the workers and the drained zones.
-func (s *state) ownRecords() (records []*replicav1.Record) {
-	for _, each := range s.partitions {
-		records = append(records, each.ownRecords()...)
+// metadataRecords returns the records outside the turn stores: identities, groups, seen
+// incarnations, loan accounts, the configuration, the workers and the drained zones.
+func (s *state) metadataRecords() (records []*replicav1.Record) {
+	for _, partition := range s.partitions {
+		records = append(records, partition.metadataRecords()...)
 	}
 	if s.configuration != nil {
 		records = append(records, &replicav1.Record{Kind: &replicav1.Record_Configuration{Configuration: s.configuration}})
@@ -241,26 +263,26 @@
 	return records
 }
 
-// currentGroup returns the newest group that is known of a partition, or nil.
+// currentGroup returns the newest known group of a partition, or nil.
 func (s *state) currentGroup(partition uint32) *replicav1.Group {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.partition(partition).group
 }
 
-// currentGroups returns the newest groups that are known.
+// currentGroups returns the newest known group of each partition.
 func (s *state) currentGroups() (groups []*replicav1.Group) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, each := range s.partitions {
-		if each.group != nil {
-			groups = append(groups, each.group)
+	for _, partition := range s.partitions {
+		if partition.group != nil {
+			groups = append(groups, partition.group)
 		}
 	}
 	return groups
 }
 
-// currentIdentity returns what this folder is in a partition, or nil.
+// currentIdentity returns the identity of this data folder in a partition, or nil.
 func (s *state) currentIdentity(partition uint32) *replicav1.Identity {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/replica/stop.go
+++ b/internal/replica/stop.go
@@ -11,92 +11,92 @@
 )
 
 const (
-	// stopMargin is what of the grace is left when a replica that is to stop waits no longer: its
-	// process ends in some ten ms.
+	// stopMargin is the part of the grace period that remains for the end of the process, which
+	// takes some ten milliseconds.
 	stopMargin = time.Second
-	// leastStopWait is how long it waits at least, where the grace is shorter.
-	leastStopWait = 3 * time.Second
-	// standbyAnswersWithin is how long nodes that could take a seat have to say so: three
-	// questions to more and more of them. Where all are gone, a stop takes this much longer.
-	standbyAnswersWithin = 4 * reconcileEvery
-	// stopPause is the time between two looks whether a replica may stop.
-	stopPause = 30 * time.Millisecond
+	// minStopWait is the minimum wait of a stopping replica, even if its grace period is shorter.
+	minStopWait = 3 * time.Second
+	// standbyResponseTimeout is the time that standbys have to respond, which covers three rounds
+	// of queries to a growing number of nodes. If none of them runs, a stop takes this much longer.
+	standbyResponseTimeout = 4 * reconcileInterval
+	// stopPollInterval is the interval at which a stopping replica checks whether it may stop.
+	stopPollInterval = 30 * time.Millisecond
 )
 
-// handSeatsOver lets nodes that stand by take seats beside this node's before it stops, and returns
-// once the groups have as many members without it as are wanted, where none stands by, or shortly
-// before the grace is over. A member that merely fell silent would be
-// replaced after suspectAfter: whoever replaces replicas one after another, each once the one
-// before had its time to catch up, would take the second disk before the first seat is held.
-func (r *Replica) handSeatsOver(ctx context.Context) {
+// awaitReplacements lets standbys take seats in this node's groups before it stops. It returns once
+// the groups have the desired number of members in sync without this node, once no standby is
+// available, or shortly before the end of the grace period. A member that only stopped responding
+// would be replaced after suspectAfter. In a rolling restart with a fixed wait per replica, the
+// second disk would then be gone before the first seat is filled.
+func (r *Replica) awaitReplacements(ctx context.Context) {
 	r.stopping.Store(true)
-	ctx, cancel := context.WithTimeout(ctx, stopWait(r.options.ShutdownGracePeriod))
+	ctx, cancel := context.WithTimeout(ctx, maxStopWait(r.options.ShutdownGracePeriod))
 	defer cancel()
 	r.announceStopping(ctx)
-	began := time.Now()
+	started := time.Now()
 	for _, group := range r.ownGroups() {
-		for r.seatToHandOver(ctx, group.Partition, time.Since(began)) && pause.For(ctx, stopPause) {
+		for r.awaitsReplacement(ctx, group.Partition, time.Since(started)) && pause.For(ctx, stopPollInterval) {
 		}
 	}
-	r.logWeakened(ctx, time.Since(began))
+	r.logUnderReplicatedStop(ctx, time.Since(started))
 }
 
-// stopWait returns how long a replica that is to stop waits at most for others to hold seats.
-func stopWait(grace time.Duration) time.Duration { return max(leastStopWait, grace-stopMargin) }
+// maxStopWait returns the maximum time that a stopping replica waits for replacements.
+func maxStopWait(grace time.Duration) time.Duration { return max(minStopWait, grace-stopMargin) }
 
-// logWeakened logs the groups that this node leaves with fewer members than are wanted, though nodes
-// could take a seat, since its grace is over.
-func (r *Replica) logWeakened(ctx context.Context, waited time.Duration) {
+// logUnderReplicatedStop logs the groups that this node leaves with fewer members in sync than
+// desired because its grace period has ended while standbys were available.
+func (r *Replica) logUnderReplicatedStop(ctx context.Context, waited time.Duration) {
 	if ctx.Err() == nil {
 		return
 	}
 	for _, group := range r.ownGroups() {
-		if seen := r.observe(group); !enoughWithout(seen, r.options.Node, seen.settled) {
-			eventStopsWeakened.Log("partition", group.Partition, "epoch", group.Epoch, "members", nodesOf(group.Members), "waited_ms", waited.Milliseconds())
+		if status := r.groupStatus(group); !hasEnoughMembersWithout(status, r.options.Node, status.isInSync) {
+			eventStoppedUnderReplicated.Log("partition", group.Partition, "epoch", group.Epoch, "members", nodeNames(group.Members), "waited_ms", waited.Milliseconds())
 		}
 	}
 }
 
-// announceStopping tells every node that has a seat anywhere that this one is to stop, also where
-// it has none itself: one that has just stopped would be given a seat for as long as its last
-// word counts, and the seat would be empty for that long.
+// announceStopping announces to every node with a seat that this node is stopping, even if it has
+// no seat itself. Otherwise the node could still be given a seat for as long as its last contact
+// counts, and the seat would be empty for that time.
 func (r *Replica) announceStopping(ctx context.Context) {
 	message := &replicav1.AnnounceRequest{Node: r.options.Node, Stopping: true}
-	var telling sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, node := range directory.Members(r.directory.Groups()) {
 		if node.Node != r.options.Node {
-			telling.Go(func() { r.announceTo(ctx, &replicav1.Member{Node: node.Node, Address: node.Address}, message) })
+			calls.Go(func() { r.announceTo(ctx, &replicav1.Member{Node: node.Node, Address: node.Address}, message) })
 		}
 	}
-	telling.Wait()
+	calls.Wait()
 }
 
-// enoughWithout reports whether a group has as many members as are wanted, beside a node, of which
-// something holds.
-func enoughWithout(seen observation, node string, holds func(node string) bool) bool {
+// hasEnoughMembersWithout reports whether a group has the desired number of members that satisfy
+// qualifies, not counting one node.
+func hasEnoughMembersWithout(status groupStatus, node string, qualifies func(node string) bool) bool {
 	count := 0
-	for _, member := range seen.group.Members {
-		if member.Node != node && holds(member.Node) {
+	for _, member := range status.group.Members {
+		if member.Node != node && qualifies(member.Node) {
 			count++
 		}
 	}
-	return count >= wantedSeats(seen.group)
+	return count >= desiredSeats(status.group)
 }
 
-// seatToHandOver reports whether a node that has been stopping for a while still waits for
-// one that takes a seat of a partition, or for one that has and does not hold it yet.
-func (r *Replica) seatToHandOver(ctx context.Context, partition uint32, stopping time.Duration) bool {
+// awaitsReplacement reports whether a node that has been stopping for the elapsed time still waits
+// for a standby to take a seat of a partition, or for its successor to be in sync.
+func (r *Replica) awaitsReplacement(ctx context.Context, partition uint32, elapsed time.Duration) bool {
 	group := r.directory.Group(partition)
-	seen := r.observe(group)
-	if holder := passedSeatOf(group, r.options.Node); holder != nil {
-		r.announceTo(ctx, holder, r.announcement(group))
-		return !seen.settled(holder.Node)
+	status := r.groupStatus(group)
+	if successor := successorOf(group, r.options.Node); successor != nil {
+		r.announceTo(ctx, successor, r.announcement(group))
+		return !status.isInSync(successor.Node)
 	}
-	if seatOf(group, r.options.Node) == nil || enoughWithout(seen, r.options.Node, seen.settled) {
+	if memberForNode(group, r.options.Node) == nil || hasEnoughMembersWithout(status, r.options.Node, status.isInSync) {
 		return false
 	}
-	if standbyNode(seen) != nil || enoughWithout(seen, r.options.Node, seen.healthy) {
+	if healthyStandby(status) != nil || hasEnoughMembersWithout(status, r.options.Node, status.isHealthy) {
 		return true
 	}
-	return stopping < standbyAnswersWithin && len(standbys(seen))+len(transfers(group)) > 0
+	return elapsed < standbyResponseTimeout && len(standbyCandidates(status))+len(membersInTransfer(group)) > 0
 }
--- a/internal/replica/stop_test.go
+++ b/internal/replica/stop_test.go
@@ -13,52 +13,52 @@
 )
 
 func TestStoppingMemberStaysUntilStandbyIsInSync(t *testing.T) {
-	group := oneGroup(nodes("a", "b", "c"))
-	seen := seenAll(group, nodes("a", "b", "c", "spare"))
-	seen.stopping = only("b")
-	grown := nextGroup(seen)
+	group := singlePartitionGroup(nodes("a", "b", "c"))
+	status := statusAllInSync(group, nodes("a", "b", "c", "spare"))
+	status.reportsStopping = onlyNode("b")
+	grown := nextGroup(status)
 	require.Equal(t, []string{"a", "b", "c", "spare"}, memberNames(grown))
-	require.Zero(t, proposalRank(seen, "b"), "it comes first")
-	require.Equal(t, 1, proposalRank(seen, "a"))
-	require.False(t, enoughWithout(seen, "b", seen.settled))
-	seen.group = allReceived(grown)
-	seen.settled = except("spare")
-	require.False(t, enoughWithout(seen, "b", seen.settled))
-	seen.settled = except()
-	require.True(t, enoughWithout(seen, "b", seen.settled))
-	seen.nodes = nodes("a", "b", "c", "spare")
-	require.Nil(t, nextGroup(seen), "it may come back soon")
-	seen.group, seen.nodes = group, nodes("a", "b", "c")
-	require.Nil(t, nextGroup(seen), "a group does not shrink for a member that may come back")
+	require.Zero(t, proposalRank(status, "b"), "the stopping member proposes first")
+	require.Equal(t, 1, proposalRank(status, "a"))
+	require.False(t, hasEnoughMembersWithout(status, "b", status.isInSync))
+	status.group = completeTransfers(grown)
+	status.isInSync = allExcept("spare")
+	require.False(t, hasEnoughMembersWithout(status, "b", status.isInSync))
+	status.isInSync = allExcept()
+	require.True(t, hasEnoughMembersWithout(status, "b", status.isInSync))
+	status.nodes = nodes("a", "b", "c", "spare")
+	require.Nil(t, nextGroup(status), "the stopped member may return soon")
+	status.group, status.nodes = group, nodes("a", "b", "c")
+	require.Nil(t, nextGroup(status), "a group does not shrink for a member that may return")
 }
 
-// A member that had stopped and stayed silent kept its vote beside the one that was there for it.
+// A member that had stopped and did not return kept its vote beside its replacement.
 func TestStoppedMemberIsRemovedWhenEnoughRemain(t *testing.T) {
-	seen := seenAll(allReceived(nextGroup(seenAll(oneGroup(nodes("a", "b", "c")), nodes("a", "b", "c", "spare")))), nodes("a", "b", "c", "spare"))
-	seen.healthy, seen.settled = except("b"), except("b")
-	next := nextGroup(seen)
+	status := statusAllInSync(completeTransfers(nextGroup(statusAllInSync(singlePartitionGroup(nodes("a", "b", "c")), nodes("a", "b", "c", "spare")))), nodes("a", "b", "c", "spare"))
+	status.isHealthy, status.isInSync = allExcept("b"), allExcept("b")
+	next := nextGroup(status)
 	require.Equal(t, []string{"a", "c", "spare"}, memberNames(next))
 	require.Nil(t, next.Removed)
 }
 
-// A full group kept the member that had joined for one that stopped and came back.
+// A full group kept the member that had joined to replace a stopping one, after that one returned.
 func TestSurplusMemberIsRemoved(t *testing.T) {
-	full := oneGroup(nodes("a", "b", "c", "d", "e"))
-	seen := seenAll(full, nodes("a", "b", "c", "d", "e", "spare"))
-	seen.stopping = only("b")
-	grown := allReceived(nextGroup(seen))
+	full := singlePartitionGroup(nodes("a", "b", "c", "d", "e"))
+	status := statusAllInSync(full, nodes("a", "b", "c", "d", "e", "spare"))
+	status.reportsStopping = onlyNode("b")
+	grown := completeTransfers(nextGroup(status))
 	require.Len(t, grown.Members, maxSeats+1)
-	require.Equal(t, memberNames(full), memberNames(nextGroup(seenAll(grown, seen.nodes))))
+	require.Equal(t, memberNames(full), memberNames(nextGroup(statusAllInSync(grown, status.nodes))))
 }
 
 func TestRetiringMemberLeavesBeforeStoppingOne(t *testing.T) {
-	group := oneGroup(nodes("a", "b", "c"))
-	seen := seenAll(group, nodes("a", "b", "c", "spare"))
-	seen.stopping, seen.retiring = only("b"), map[string]bool{"c": true}
-	grown := nextGroup(seen)
+	group := singlePartitionGroup(nodes("a", "b", "c"))
+	status := statusAllInSync(group, nodes("a", "b", "c", "spare"))
+	status.reportsStopping, status.retiring = onlyNode("b"), map[string]bool{"c": true}
+	grown := nextGroup(status)
 	require.Equal(t, []string{"a", "b", "c", "spare"}, memberNames(grown))
-	seen.group = allReceived(grown)
-	require.Equal(t, []string{"a", "b", "spare"}, memberNames(nextGroup(seen)))
+	status.group = completeTransfers(grown)
+	require.Equal(t, []string{"a", "b", "spare"}, memberNames(nextGroup(status)))
 }
 
 func TestStoppingNodeIsUnhealthyUntilRestart(t *testing.T) {
@@ -67,16 +67,17 @@
 	opened, err := openState(recordlogtest.NewDisk())
 	require.NoError(t, err)
 	t.Cleanup(opened.log.Close)
-	answering := &service{state: opened, directory: directory.NewState(time.Now, nil), peers: peers}
+	server := &service{state: opened, directory: directory.NewState(time.Now, nil), peers: peers}
 	for _, stopping := range []bool{false, true, false} {
-		_, err := answering.Announce(t.Context(), connect.NewRequest(&replicav1.AnnounceRequest{Node: "a", Stopping: stopping}))
+		_, err := server.Announce(t.Context(), connect.NewRequest(&replicav1.AnnounceRequest{Node: "a", Stopping: stopping}))
 		require.NoError(t, err)
-		require.Equal(t, !stopping, peers.healthy("a"))
+		require.Equal(t, !stopping, peers.isHealthy("a"))
 	}
 }
 
-// A replica that was to stop ended after 3 s of a grace of 8, whether or not another one held a seat.
+// A stopping replica ended 3 s into a grace period of 8 s, whether or not another replica had
+// filled its seat.
 func TestStopWaitFollowsGracePeriod(t *testing.T) {
-	require.Equal(t, 7*time.Second, stopWait(8*time.Second))
-	require.Equal(t, leastStopWait, stopWait(time.Second), "one that joins has the time that it needs")
+	require.Equal(t, 7*time.Second, maxStopWait(8*time.Second))
+	require.Equal(t, minStopWait, maxStopWait(time.Second), "a joining standby has enough time")
 }
--- a/internal/replica/underreplicated.go
+++ b/internal/replica/underreplicated.go
@@ -10,119 +10,122 @@
 	"github.com/barleyshelf/barleyshelf/internal/quorum"
 )
 
-// underReplicatedAfter is how long members must have lacked what their seats held before that is
-// logged: a lost disk is copied in some hundred ms, and a silent member's seat passed on in
-// 2 to 3 s.
-const underReplicatedAfter = 3 * time.Second
+// underReplicatedLogDelay is how long members must be out of sync before it is logged. Recovery
+// from a lost disk takes some hundred milliseconds, and the replacement of an unresponsive member 2
+// to 3 s.
+const underReplicatedLogDelay = 3 * time.Second
 
-// underReplicatedGroups knows which groups have members that do not hold their seats. Such a group
-// serves as before, and bears one loss less than it seems to.
+// underReplicatedGroups tracks the groups with members that are out of sync. Such a group still
+// serves, but tolerates one loss less than its size suggests.
 type underReplicatedGroups struct {
 	now   func() time.Time
 	mutex sync.Mutex
-	// groups are those in which members lack something, by partition.
+	// groups are the groups with members out of sync, by partition.
 	groups map[uint32]*underReplicatedGroup
-	// borne are the losses that groups bear, by partition.
-	borne map[uint32]borneLosses
+	// tolerated are the disk losses that groups tolerate, by partition.
+	tolerated map[uint32]toleratedLosses
 }
 
-// underReplicatedGroup is one of them.
+// underReplicatedGroup is a group with members out of sync.
 type underReplicatedGroup struct {
 	since time.Time
-	// members are those that lacked something when that was logged last.
+	// members are the members that were out of sync when they were last logged.
 	members []string
 	logged  bool
 }
 
-// borneLosses is how many lost disks a partition's group bore when that was logged last.
-type borneLosses struct {
+// toleratedLosses is the number of disk losses that a partition's group tolerated when it was last
+// logged.
+type toleratedLosses struct {
 	count int
 	since time.Time
 }
 
 func newUnderReplicatedGroups(now func() time.Time) *underReplicatedGroups {
-	return &underReplicatedGroups{now: now, groups: make(map[uint32]*underReplicatedGroup), borne: make(map[uint32]borneLosses)}
+	return &underReplicatedGroups{now: now, groups: make(map[uint32]*underReplicatedGroup), tolerated: make(map[uint32]toleratedLosses)}
 }
 
-// observe takes which members of a partition's group lack something, and logs what lasts.
-// standbys are the nodes that were asked to take a seat.
-func (u *underReplicatedGroups) observe(seen observation, standbys []string) {
+// observe records which members of a group are out of sync, and logs those that stay so. standbys
+// are the nodes queried as replacements.
+func (u *underReplicatedGroups) observe(status groupStatus, standbys []string) {
 	var members []string
-	for _, member := range seen.group.Members {
-		if !seen.settled(member.Node) {
+	for _, member := range status.group.Members {
+		if !status.isInSync(member.Node) {
 			members = append(members, member.Node)
 		}
 	}
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	partition, now := seen.group.Partition, u.now()
-	u.observeBorne(seen)
-	known := u.groups[partition]
+	partition, now := status.group.Partition, u.now()
+	u.observeToleratedLosses(status)
+	existing := u.groups[partition]
 	switch {
 	case len(members) == 0:
 		delete(u.groups, partition)
-		if known != nil && known.logged {
-			eventGroupWhole.Log("partition", partition, "epoch", seen.group.Epoch, "milliseconds", now.Sub(known.since).Milliseconds())
+		if existing != nil && existing.logged {
+			eventFullyReplicated.Log("partition", partition, "epoch", status.group.Epoch, "milliseconds", now.Sub(existing.since).Milliseconds())
 		}
-	case known == nil:
+	case existing == nil:
 		u.groups[partition] = &underReplicatedGroup{since: now, members: members}
-	case now.Sub(known.since) >= underReplicatedAfter && (!known.logged || !slices.Equal(known.members, members)):
-		known.logged, known.members = true, members
-		eventGroupLacks.Log("partition", partition, "epoch", seen.group.Epoch, "members", members, "standbys", standbys,
-			"milliseconds", now.Sub(known.since).Milliseconds())
+	case now.Sub(existing.since) >= underReplicatedLogDelay && (!existing.logged || !slices.Equal(existing.members, members)):
+		existing.logged, existing.members = true, members
+		eventUnderReplicated.Log("partition", partition, "epoch", status.group.Epoch, "members", members, "standbys", standbys,
+			"milliseconds", now.Sub(existing.since).Milliseconds())
 	}
 }
 
-// observeBorne logs when a group bears more or fewer lost disks than before, as far as this member
-// hears. The mutex is held.
-func (u *underReplicatedGroups) observeBorne(seen observation) {
-	group := seen.group
+// observeToleratedLosses logs a change in the number of disk losses that a group tolerates,
+// according to the reports that this member has. The mutex must be held.
+func (u *underReplicatedGroups) observeToleratedLosses(status groupStatus) {
+	group := status.group
 	var empty []string
 	for _, member := range group.Members {
-		if !seen.holds(member) {
+		if !status.holdsRecords(member) {
 			empty = append(empty, member.Node)
 		}
 	}
-	borne := quorum.ToleratedLosses(group, len(group.Members)-len(empty))
-	known, found := u.borne[group.Partition]
-	if found && known.count == borne {
+	tolerated := quorum.ToleratedLosses(group, len(group.Members)-len(empty))
+	existing, found := u.tolerated[group.Partition]
+	if found && existing.count == tolerated {
 		return
 	}
 	now := u.now()
-	u.borne[group.Partition] = borneLosses{count: borne, since: now}
+	u.tolerated[group.Partition] = toleratedLosses{count: tolerated, since: now}
 	if found {
-		eventLossesBorne.Log("partition", group.Partition, "epoch", group.Epoch, "losses", borne, "before", known.count,
-			"empty", empty, "removed", group.Removed.GetNode(), "milliseconds", now.Sub(known.since).Milliseconds())
+		eventToleratedLosses.Log("partition", group.Partition, "epoch", group.Epoch, "losses", tolerated, "before", existing.count,
+			"empty", empty, "removed", group.Removed.GetNode(), "milliseconds", now.Sub(existing.since).Milliseconds())
 	}
 }
 
-// forget drops what is known of groups that this node has no seat in any more.
-func (u *underReplicatedGroups) forget(own []*replicav1.Group) {
+// retainGroups drops the groups in which this node has no seat any more.
+func (u *underReplicatedGroups) retainGroups(ownGroups []*replicav1.Group) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	maps.DeleteFunc(u.borne, func(partition uint32, _ borneLosses) bool {
-		return !slices.ContainsFunc(own, func(group *replicav1.Group) bool { return group.Partition == partition })
+	maps.DeleteFunc(u.tolerated, func(partition uint32, _ toleratedLosses) bool {
+		return !slices.ContainsFunc(ownGroups, func(group *replicav1.Group) bool { return group.Partition == partition })
 	})
 }
 
-// leastBorne returns how many lost disks the weakest of the groups bears, or 0 where there is none.
-func (u *underReplicatedGroups) leastBorne() (least int) {
+// minToleratedLosses returns the number of disk losses that the weakest group tolerates, or 0 if
+// there is no group.
+func (u *underReplicatedGroups) minToleratedLosses() (least int) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	for i, each := range slices.Collect(maps.Values(u.borne)) {
-		if i == 0 || each.count < least {
-			least = each.count
+	for i, losses := range slices.Collect(maps.Values(u.tolerated)) {
+		if i == 0 || losses.count < least {
+			least = losses.count
 		}
 	}
 	return least
 }
 
-// count returns in how many groups members have lacked something for long.
+// count returns the number of groups that have been under-replicated for longer than
+// underReplicatedLogDelay.
 func (u *underReplicatedGroups) count() (count int) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	for _, each := range u.groups {
-		if each.logged {
+	for _, group := range u.groups {
+		if group.logged {
 			count++
 		}
 	}
--- a/internal/replica/watchers.go
+++ b/internal/replica/watchers.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// wantedWatchers is how many replicas follow the platform's store in all, at least:
-	// it may turn a third of the machines away, and each of the others asks two.
-	wantedWatchers = 4
-	// standInSpread is the time over which replicas that no watcher answers begin, each at
-	// a moment of its own, to follow the store themselves: the first of them answers
-	// the others before they begin.
-	standInSpread = 1500 * time.Millisecond
-	// standInRetry is the longest time between failed calls of a replica that stands
-	// in for watchers: where they fail too, it is likely the store.
-	standInRetry = 2 * time.Second
+	// minWatchers is the minimum number of replicas that watch the platform's store. The store may
+	// be unavailable to a third of the machines, and each other replica queries two watchers.
+	minWatchers = 4
+	// fallbackWatchSpread is the time over which replicas that reach no watcher start, at random
+	// moments, to watch the store themselves. The first of them can answer the others before they
+	// start.
+	fallbackWatchSpread = 1500 * time.Millisecond
+	// maxFallbackRetry is the maximum retry interval of a replica that watches the store in place
+	// of the watchers. If its calls fail too, the store itself has probably failed.
+	maxFallbackRetry = 2 * time.Second
 )
 
-// watchers returns the replicas that follow the platform's store and pass on what it
-// tells, so that calls to it grow with zones and not with machines. All that know the
-// same groups choose alike: the first members of each zone, by name.
-func watchers(groups []*replicav1.Group) []directory.Replica {
+// chooseWatchers returns the replicas that watch the platform's store and pass on its updates. They
+// are the first members of each zone by name, so that the number of calls to the store grows with
+// the zones and not with the machines. Replicas that know the same groups choose the same watchers.
+func chooseWatchers(groups []*replicav1.Group) []directory.Replica {
 	zones := make(map[string][]directory.Replica)
 	for _, member := range directory.Members(groups) {
 		zones[member.Zone] = append(zones[member.Zone], member)
@@ -36,15 +36,15 @@
 	var chosen []directory.Replica
 	for _, inZone := range zones {
 		slices.SortFunc(inZone, func(a, b directory.Replica) int { return strings.Compare(a.Node, b.Node) })
-		each := (wantedWatchers + len(zones) - 1) / len(zones)
-		chosen = append(chosen, inZone[:min(each, len(inZone))]...)
+		perZone := (minWatchers + len(zones) - 1) / len(zones)
+		chosen = append(chosen, inZone[:min(perZone, len(inZone))]...)
 	}
 	return chosen
 }
 
-// watches reports whether this replica is to follow the store in any case: it is chosen,
-// or it is a seed while no group is known.
-func (r *Replica) watches() bool {
+// isWatcher reports whether this replica must watch the store: it was chosen, or it is a seed while
+// no group is known.
+func (r *Replica) isWatcher() bool {
 	if r.options.DisabledMechanisms.Has(mechanism.LimitedWatchers) {
 		return true
 	}
@@ -52,44 +52,45 @@
 	if len(groups) == 0 {
 		return slices.Contains(*r.seeds.Load(), r.options.Address)
 	}
-	return hasNode(watchers(groups), r.options.Node)
+	return hasNode(chooseWatchers(groups), r.options.Node)
 }
 
-// followStore follows the platform's store while this replica is to, or while it hears
-// of none that does.
-func (r *Replica) followStore(ctx context.Context) {
-	began, late := time.Now(), rand.N(standInSpread)
-	wanted := func() bool {
-		if r.watches() {
-			r.feed.SetMaxBackoff(directory.ReplicaTimings.MaxBackoff)
+// runStoreWatch watches the platform's store while this replica is a watcher, or while it reaches
+// none.
+func (r *Replica) runStoreWatch(ctx context.Context) {
+	started, jitter := time.Now(), rand.N(fallbackWatchSpread)
+	shouldWatch := func() bool {
+		if r.isWatcher() {
+			r.watcher.SetMaxBackoff(directory.ReplicaTimings.MaxBackoff)
 			return true
 		}
-		r.feed.SetMaxBackoff(standInRetry)
-		return time.Since(began) > directory.InitialReplicaReportWait+late && !r.relay.FreshWithin(directory.MaxReplicaReportAge+late)
+		r.watcher.SetMaxBackoff(maxFallbackRetry)
+		return time.Since(started) > directory.InitialReplicaReportWait+jitter && !r.poller.FreshWithin(directory.MaxReplicaReportAge+jitter)
 	}
-	directory.RunWhile(ctx, wanted, func(following context.Context) {
-		go r.feed.ListAndWatch(following, directory.KindReplica, "replicas", directory.WatchTimeout, r.followers.takeReplicas)
-		go r.feed.ListAndWatch(following, directory.KindRetirement, "retirements", directory.WatchTimeout, r.followers.takeRetirements)
-		r.feed.Run(following)
+	directory.RunWhile(ctx, shouldWatch, func(watchCtx context.Context) {
+		go r.watcher.ListAndWatch(watchCtx, directory.KindReplica, "replicas", directory.WatchTimeout, r.nodes.updateReplicas)
+		go r.watcher.ListAndWatch(watchCtx, directory.KindRetirement, "retirements", directory.WatchTimeout, r.nodes.updateRetirements)
+		r.watcher.Run(watchCtx)
 	})
 }
 
-// storeReportAge returns how old this replica's view of the store is, or false if it has none.
-func (r *Replica) storeReportAge() (age time.Duration, known bool) {
-	if r.feed.Healthy() {
+// storeViewAge returns the age of this replica's view of the store, and false if it has no view.
+func (r *Replica) storeViewAge() (age time.Duration, known bool) {
+	if r.watcher.Healthy() {
 		return 0, true
 	}
-	return r.relay.UpdateAge()
+	return r.poller.UpdateAge()
 }
 
-// storeAnswers reports whether the store answers this replica, or one that answers it.
-func (r *Replica) storeAnswers() bool {
-	return r.feed.Healthy() || r.relay.FreshWithin(directory.MaxReplicaReportAge)
+// isStoreReachable reports whether the store answers this replica or a replica that this one can
+// reach.
+func (r *Replica) isStoreReachable() bool {
+	return r.watcher.Healthy() || r.poller.FreshWithin(directory.MaxReplicaReportAge)
 }
 
-// otherWatchers returns the watchers that this replica may ask for news.
+// otherWatchers returns the watchers that this replica may query.
 func (r *Replica) otherWatchers() []directory.Replica {
-	return slices.DeleteFunc(watchers(r.directory.Groups()), func(watcher directory.Replica) bool {
+	return slices.DeleteFunc(chooseWatchers(r.directory.Groups()), func(watcher directory.Replica) bool {
 		return watcher.Node == r.options.Node
 	})
 }
--- a/internal/replica/watchers_test.go
+++ b/internal/replica/watchers_test.go
@@ -10,11 +10,11 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/replicav1"
 )
 
-// fleet returns so many nodes in each of so many zones.
-func fleet(zones, each int) []directory.Replica {
+// fleetNodes returns the given number of nodes in each of the given number of zones.
+func fleetNodes(zones, perZone int) []directory.Replica {
 	var listed []directory.Replica
 	for zone := range zones {
-		for i := range each {
+		for i := range perZone {
 			name := fmt.Sprintf("n-%d-%d", zone, i)
 			listed = append(listed, directory.Replica{Node: name, Zone: fmt.Sprintf("z%d", zone), Address: name + ":1"})
 		}
@@ -23,31 +23,31 @@
 }
 
 func TestWatcherCountGrowsWithZones(t *testing.T) {
-	for _, each := range []int{6, 60} {
-		chosen := watchers(firstGroups(fleet(6, each)))
-		require.Len(t, chosen, 6, "one of each zone")
+	for _, perZone := range []int{6, 60} {
+		chosen := chooseWatchers(initialUnconfinedGroups(fleetNodes(6, perZone)))
+		require.Len(t, chosen, 6, "one watcher per zone")
 		inZone := make(map[string]int)
 		for _, watcher := range chosen {
 			inZone[watcher.Zone]++
 		}
 		require.Len(t, inZone, 6)
 	}
-	require.Len(t, watchers(firstGroups(fleet(3, 1))), 3, "every replica of a small fleet")
-	require.GreaterOrEqual(t, len(watchers(firstGroups(fleet(2, 5)))), wantedWatchers)
+	require.Len(t, chooseWatchers(initialUnconfinedGroups(fleetNodes(3, 1))), 3, "every replica of a small system")
+	require.GreaterOrEqual(t, len(chooseWatchers(initialUnconfinedGroups(fleetNodes(2, 5)))), minWatchers)
 }
 
 func TestWatcherChoiceIsDeterministic(t *testing.T) {
-	groups := firstGroups(fleet(6, 6))
+	groups := initialUnconfinedGroups(fleetNodes(6, 6))
 	other := make([]*replicav1.Group, len(groups))
 	for i, group := range groups {
 		other[len(groups)-1-i] = group
 	}
-	require.ElementsMatch(t, watchers(groups), watchers(other))
+	require.ElementsMatch(t, chooseWatchers(groups), chooseWatchers(other))
 }
 
 func TestSeatsAreSpreadEvenlyOverNodes(t *testing.T) {
-	nodes := fleet(6, 6)
-	groups := firstGroups(nodes)
+	nodes := fleetNodes(6, 6)
+	groups := initialUnconfinedGroups(nodes)
 	require.Len(t, groups, 12)
 	for _, group := range groups {
 		zones := make(map[string]bool)
@@ -55,36 +55,36 @@
 			zones[member.Zone] = true
 		}
 		require.Len(t, group.Members, maxSeats)
-		require.Len(t, zones, maxSeats, "zones apart")
+		require.Len(t, zones, maxSeats, "the members are in different zones")
 		require.Equal(t, uint32(12), group.Partitions)
 	}
-	seats := seatsHeld(groups)
-	require.Len(t, seats, len(nodes), "no node stands by while others hold two seats")
-	for node, held := range seats {
-		require.LessOrEqual(t, held, 2, node)
+	seats := seatsByNode(groups)
+	require.Len(t, seats, len(nodes), "every node has a seat")
+	for node, count := range seats {
+		require.LessOrEqual(t, count, 2, node)
 	}
 }
 
 func TestSmallSystemHasOnePartition(t *testing.T) {
 	for nodes := 1; nodes <= maxSeats; nodes++ {
-		require.Equal(t, 1, partitionsFor(nodes))
+		require.Equal(t, 1, initialPartitionCount(nodes))
 	}
-	require.Equal(t, 3, partitionsFor(9))
-	require.Equal(t, 12, partitionsFor(36))
+	require.Equal(t, 3, initialPartitionCount(9))
+	require.Equal(t, 12, initialPartitionCount(36))
 }
 
 func TestSeatGoesToNodeWithFewestSeats(t *testing.T) {
-	nodes := fleet(6, 6)
-	groups := firstGroups(nodes)
+	nodes := fleetNodes(6, 6)
+	groups := initialUnconfinedGroups(nodes)
 	group := groups[0]
-	left := group.Members[0]
-	seen := seenAll(group, nodes)
-	seen.seats = seatsHeld(groups)
-	seen.healthy, seen.settled = except(left.Node), except(left.Node)
-	next := nextGroup(seen)
-	taken := next.Members[0]
-	require.Equal(t, 1, seen.seats[taken.Node], "not one of those that hold two")
+	failedMember := group.Members[0]
+	status := statusAllInSync(group, nodes)
+	status.seatCounts = seatsByNode(groups)
+	status.isHealthy, status.isInSync = allExcept(failedMember.Node), allExcept(failedMember.Node)
+	next := nextGroup(status)
+	replacement := next.Members[0]
+	require.Equal(t, 1, status.seatCounts[replacement.Node], "the seat goes to a node that had one")
 	for _, member := range next.Members[1:] {
-		require.NotEqual(t, member.Zone, taken.Zone, "zones apart")
+		require.NotEqual(t, member.Zone, replacement.Zone, "the members are in different zones")
 	}
 }
