--- a/internal/coldstart/tracker.go
+++ b/internal/coldstart/tracker.go
@@ -1,11 +1,12 @@
-// Package coldstart decides which workers count as cold for one process: such as bear few
-// requests for a while, because they have started a moment ago or lay idle. It takes what the
-// process receives, with the times of that by its own steady clock. It does no I/O.
+// Package coldstart decides which workers one process considers cold. A cold worker can only
+// handle a few requests for a while, because it has just started or was idle. The package works
+// with the updates that the process receives and with the times of their receipt by the process's
+// own monotonic clock. It does no I/O.
 //
-// Invariant: a worker that is cold counts as cold from the moment at which this process receives
-// its entry, or anything after which workers are cold, until the worker's own report, or the
-// time that its service declares, ends that. What is not known counts as cold. An entry
-// is older than its receipt, so the time that it names ends here later than at the worker.
+// Invariant: a cold worker counts as cold from the moment at which this process receives its
+// entry, or any event after which workers may be cold. This ends with the worker's own report, or
+// after the time declared by its service. Unknown workers count as cold. An entry is older than
+// its receipt, so the cold period that it contains ends later here than at the worker.
 package coldstart
 
 import (
@@ -20,317 +21,321 @@
 	"github.com/barleyshelf/barleyshelf/internal/route"
 )
 
-// MaxEntryAge is how old an entry may be when a process receives it: a call to the platform's store,
-// the time over which changes are gathered, and two questions of replicas, with a slow one
-// among them. What an entry says may have been written that much before.
+// MaxEntryAge is the maximum age of an entry when a process receives it. It covers a call to the
+// platform's store, the time during which changes are batched, and two polls of replicas, one of
+// them slow. The content of an entry may be that much older.
 const MaxEntryAge = 3 * time.Second
 
-// Reason names why a worker counts as cold; the zero value is that it does not.
+// Reason is why a worker counts as cold. The zero value means that it does not.
 type Reason string
 
-// The reasons.
+// Values of Reason.
 const (
-	// Warm is no reason.
+	// Warm means that the worker is not cold.
 	Warm Reason = ""
-	// Reported is that the worker reports it itself.
+	// Reported means that the worker itself reports that it is cold.
 	Reported Reason = "told"
-	// Unknown is that this process has received nothing of the worker, or nothing lately.
+	// Unknown means that this process has no entry of the worker, or has not processed the latest
+	// view.
 	Unknown Reason = "unheard"
-	// InitialList is that the worker stands in the first list that this process received, which
-	// may be older than the worker's present state.
+	// InitialList means that the worker is in the first list received by this process, which may
+	// be older than the worker's present state.
 	InitialList Reason = "first_list"
-	// WorkerAdded is that the worker came into the list.
+	// WorkerAdded means that the worker was added to the list.
 	WorkerAdded Reason = "new"
-	// DrainEnded is that its zone gets requests again.
+	// DrainEnded means that the drain of the worker's zone has ended.
 	DrainEnded Reason = "drain_ended"
-	// EntryLapsed is that its entry went without notice, or came back after that.
+	// EntryLapsed means that the worker's entry disappeared without notice, and possibly came
+	// back.
 	EntryLapsed Reason = "lapsed"
-	// Unreachable is that requests of this process did not reach it, or got no answer.
+	// Unreachable means that requests of this process did not reach the worker, or got no answer.
 	Unreachable Reason = "unreached"
 )
 
-// Tracker keeps which workers count as cold. It is safe for concurrent use.
+// Tracker tracks which workers count as cold. It is safe for concurrent use.
 type Tracker struct {
 	now func() time.Time
-	// changed, if not nil, is called with workers that begin to count as cold.
-	changed func(reason Reason, workers []string)
-	state   atomic.Pointer[state]
+	// onCold is called with workers that start to count as cold. It may be nil.
+	onCold   func(reason Reason, workers []string)
+	snapshot atomic.Pointer[snapshot]
 
 	mutex sync.Mutex
-	// followed are the services with cold workers whose first list was received.
-	followed map[string]bool
-	workers  map[string]*standing
-	drains   directory.ZoneDrains
-	// taken counts the views.
-	taken uint64
+	// listedServices are the services with cold workers whose first list was received.
+	listedServices map[string]bool
+	workers        map[string]*workerState
+	drains         directory.ZoneDrains
+	// viewNumber is the number of views processed so far.
+	viewNumber uint64
 }
 
-// state is what holds as of a view. It is immutable, but for the spells of its workers.
-type state struct {
+// snapshot is the state for one view. It is immutable except for the cold periods of its workers.
+type snapshot struct {
 	view *directory.View
-	// declared are the services whose workers may be cold.
-	declared map[string]route.Cold
-	// workers are those of these services.
-	workers map[string]*standing
+	// coldServices are the services whose workers may be cold.
+	coldServices map[string]route.Cold
+	// workers are the workers of coldServices.
+	workers map[string]*workerState
 }
 
-// spell is a time for which a worker counts as cold.
-type spell struct {
+// coldPeriod is a period in which a worker counts as cold.
+type coldPeriod struct {
 	until  time.Time
 	reason Reason
 }
 
-// standing is what is known of one worker.
-type standing struct {
+// workerState is what is known about one worker.
+type workerState struct {
 	service, address, zone string
-	// received is when the newest entry came, left for how long it named the worker cold.
-	received time.Time
-	left     time.Duration
-	lapsed   bool
-	// taken is the number of the last view that had the worker.
-	taken uint64
-	// reportedUntil ends the time for which the worker reported that it is cold.
+	// receivedAt is when the newest entry was received, coldRemaining is the remaining cold time in
+	// that entry.
+	receivedAt    time.Time
+	coldRemaining time.Duration
+	lapsed        bool
+	// viewNumber is the number of the last view that contained the worker.
+	viewNumber uint64
+	// reportedUntil is the end of the cold time reported by the worker.
 	reportedUntil time.Time
-	// doubt is what happened after which a worker may be cold, whatever it reported before;
-	// doubted is when.
-	doubt   spell
-	doubted time.Time
-	// holds is what follows from reportedUntil and doubt. The other fields belong to the tracker's
-	// mutex.
-	holds atomic.Pointer[spell]
+	// assumed is a cold period assumed after an event that may have made the worker cold,
+	// regardless of its earlier reports. assumedAt is when the event happened.
+	assumed   coldPeriod
+	assumedAt time.Time
+	// current is the cold period that results from reportedUntil and assumed. The other fields
+	// are protected by the tracker's mutex.
+	current atomic.Pointer[coldPeriod]
 }
 
-// NewTracker returns a tracker that has received nothing.
-func NewTracker(now func() time.Time, changed func(reason Reason, workers []string)) *Tracker {
-	tracker := &Tracker{now: now, changed: changed, followed: make(map[string]bool), workers: make(map[string]*standing)}
-	tracker.state.Store(&state{})
+// NewTracker returns a tracker without any workers.
+func NewTracker(now func() time.Time, onCold func(reason Reason, workers []string)) *Tracker {
+	tracker := &Tracker{now: now, onCold: onCold, listedServices: make(map[string]bool), workers: make(map[string]*workerState)}
+	tracker.snapshot.Store(&snapshot{})
 	return tracker
 }
 
-// ColdStatus returns why a worker of a service counts as cold as of a view, and what it bears then.
-// Of a view that Take was not given yet nothing is known.
+// ColdStatus returns why a worker of a service counts as cold in a view, and its limits while cold.
+// The workers of a view that has not been passed to Update yet are unknown.
 func (t *Tracker) ColdStatus(view *directory.View, service, worker string) (route.Cold, Reason) {
-	known := t.state.Load()
-	if known.view != view {
-		declared, found := declaredIn(view)[service]
+	current := t.snapshot.Load()
+	if current.view != view {
+		limits, found := coldServicesOf(view)[service]
 		if !found {
 			return route.Cold{}, Warm
 		}
-		return declared, Unknown
+		return limits, Unknown
 	}
-	declared, found := known.declared[service]
+	limits, found := current.coldServices[service]
 	if !found {
 		return route.Cold{}, Warm
 	}
-	standing, found := known.workers[worker]
+	state, found := current.workers[worker]
 	if !found {
-		return declared, Unknown
+		return limits, Unknown
 	}
-	return declared, standing.holds.Load().at(t.now())
+	return limits, state.current.Load().reasonAt(t.now())
 }
 
-// at returns the spell's reason while it lasts.
-func (s *spell) at(now time.Time) Reason {
-	if now.Before(s.until) {
-		return s.reason
+// reasonAt returns the period's reason, or Warm if it has ended.
+func (p *coldPeriod) reasonAt(now time.Time) Reason {
+	if now.Before(p.until) {
+		return p.reason
 	}
 	return Warm
 }
 
-// ColdCount returns how many workers count as cold.
+// ColdCount returns the number of workers that count as cold.
 func (t *Tracker) ColdCount() (count int) {
 	now := t.now()
-	for _, each := range t.state.Load().workers {
-		if each.holds.Load().at(now) != Warm {
+	for _, worker := range t.snapshot.Load().workers {
+		if worker.current.Load().reasonAt(now) != Warm {
 			count++
 		}
 	}
 	return count
 }
 
-// MayBeCold reports whether workers of a service may be cold as of a view, without saying which.
+// MayBeCold reports whether any worker of a service may be cold in a view.
 func (t *Tracker) MayBeCold(view *directory.View, service string) bool {
-	known := t.state.Load()
-	declared := known.declared
-	if known.view != view {
-		declared = declaredIn(view)
+	current := t.snapshot.Load()
+	coldServices := current.coldServices
+	if current.view != view {
+		coldServices = coldServicesOf(view)
 	}
-	_, found := declared[service]
+	_, found := coldServices[service]
 	return found
 }
 
-// Update takes the next view. Views are to be given in their order.
+// Update processes the next view. Views must be passed in order.
 func (t *Tracker) Update(view *directory.View) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	declared := declaredIn(view)
-	if len(declared) == 0 && len(t.workers) == 0 && len(t.followed) == 0 {
+	coldServices := coldServicesOf(view)
+	if len(coldServices) == 0 && len(t.workers) == 0 && len(t.listedServices) == 0 {
 		t.drains = view.Drains
-		t.state.Store(&state{view: view})
+		t.snapshot.Store(&snapshot{view: view})
 		return
 	}
-	for service := range t.followed {
-		if _, found := declared[service]; !found {
-			delete(t.followed, service)
+	for service := range t.listedServices {
+		if _, found := coldServices[service]; !found {
+			delete(t.listedServices, service)
 		}
 	}
-	t.taken++
-	for service, cold := range declared {
-		for each := range view.Workers.InService(service) {
-			t.take(each, view.LastReceived(each), cold, view.Drains)
+	t.viewNumber++
+	for service, cold := range coldServices {
+		for listed := range view.Workers.InService(service) {
+			t.updateWorker(listed, view.LastReceived(listed), cold, view.Drains)
 		}
 		if view.Workers != nil {
-			t.followed[service] = true
+			t.listedServices[service] = true
 		}
 	}
-	maps.DeleteFunc(t.workers, func(_ string, known *standing) bool { return known.taken != t.taken })
+	maps.DeleteFunc(t.workers, func(_ string, state *workerState) bool { return state.viewNumber != t.viewNumber })
 	t.drains = view.Drains
 	t.publish(maps.Keys(t.workers))
-	t.state.Store(&state{view: view, declared: declared, workers: maps.Clone(t.workers)})
+	t.snapshot.Store(&snapshot{view: view, coldServices: coldServices, workers: maps.Clone(t.workers)})
 }
 
-// declaredIn returns the services of a view whose workers may be cold.
-func declaredIn(view *directory.View) map[string]route.Cold {
+// coldServicesOf returns the services of a view whose workers may be cold.
+func coldServicesOf(view *directory.View) map[string]route.Cold {
 	if view.Table == nil {
 		return nil
 	}
-	var declared map[string]route.Cold
+	var coldServices map[string]route.Cold
 	for name, service := range view.Table.Configuration().Services {
 		if service.Cold == nil {
 			continue
 		}
-		if declared == nil {
-			declared = make(map[string]route.Cold)
+		if coldServices == nil {
+			coldServices = make(map[string]route.Cold)
 		}
-		declared[name] = *service.Cold
+		coldServices[name] = *service.Cold
 	}
-	return declared
+	return coldServices
 }
 
-// take takes one worker of a view. The mutex is held.
-func (t *Tracker) take(listed *directory.WorkerRecord, received time.Time, cold route.Cold, drains directory.ZoneDrains) {
+// updateWorker processes one worker of a view. The caller must hold the mutex.
+func (t *Tracker) updateWorker(listed *directory.WorkerRecord, receivedAt time.Time, cold route.Cold, drains directory.ZoneDrains) {
 	now := t.now()
-	known := t.workers[listed.ID]
-	if known == nil || known.service != listed.Service || known.address != listed.Address {
-		known = t.add(listed, received, cold, now)
-	} else if !listed.Lapsed && (known.received != received || known.left != listed.ColdRemaining) {
-		known.update(listed, received)
+	state := t.workers[listed.ID]
+	if state == nil || state.service != listed.Service || state.address != listed.Address {
+		state = t.addWorker(listed, receivedAt, cold, now)
+	} else if !listed.Lapsed && (state.receivedAt != receivedAt || state.coldRemaining != listed.ColdRemaining) {
+		state.applyEntry(listed, receivedAt)
 	}
-	if listed.Lapsed || known.lapsed {
-		known.suspect(now, cold.For, EntryLapsed)
+	if listed.Lapsed || state.lapsed {
+		state.assumeCold(now, cold.For, EntryLapsed)
 	}
-	if t.drains.Has(known.zone) && !drains.Has(known.zone) {
-		known.suspect(now, cold.For, DrainEnded)
+	if t.drains.Has(state.zone) && !drains.Has(state.zone) {
+		state.assumeCold(now, cold.For, DrainEnded)
 	}
-	known.lapsed, known.taken = listed.Lapsed, t.taken
+	state.lapsed, state.viewNumber = listed.Lapsed, t.viewNumber
 }
 
-// add begins to keep a worker. The mutex is held.
-func (t *Tracker) add(listed *directory.WorkerRecord, received time.Time, cold route.Cold, now time.Time) *standing {
-	known := &standing{
-		service: listed.Service, address: listed.Address, zone: listed.Zone, received: received,
-		left: listed.ColdRemaining, reportedUntil: received.Add(listed.ColdRemaining),
+// addWorker starts to track a worker. The caller must hold the mutex.
+func (t *Tracker) addWorker(listed *directory.WorkerRecord, receivedAt time.Time, cold route.Cold, now time.Time) *workerState {
+	state := &workerState{
+		service: listed.Service, address: listed.Address, zone: listed.Zone, receivedAt: receivedAt,
+		coldRemaining: listed.ColdRemaining, reportedUntil: receivedAt.Add(listed.ColdRemaining),
 	}
-	t.workers[listed.ID] = known
+	t.workers[listed.ID] = state
 	switch {
-	case !t.followed[listed.Service]:
-		known.suspect(now, min(MaxEntryAge, cold.For), InitialList)
+	case !t.listedServices[listed.Service]:
+		state.assumeCold(now, min(MaxEntryAge, cold.For), InitialList)
 	case listed.ColdRemaining == 0:
-		known.suspect(now, cold.For, WorkerAdded)
+		state.assumeCold(now, cold.For, WorkerAdded)
 	}
-	return known
+	return state
 }
 
-// update takes a worker's next entry. One that may have been written before the worker was
-// doubted does not end the doubt.
-func (s *standing) update(listed *directory.WorkerRecord, received time.Time) {
-	s.received, s.left, s.zone = received, listed.ColdRemaining, listed.Zone
-	s.reportedUntil = received.Add(listed.ColdRemaining)
-	if !received.Before(s.doubted.Add(MaxEntryAge)) {
-		s.doubt = spell{}
+// applyEntry applies a worker's next entry. The entry does not end an assumed cold period if it
+// may have been written before the assumption.
+func (s *workerState) applyEntry(listed *directory.WorkerRecord, receivedAt time.Time) {
+	s.receivedAt, s.coldRemaining, s.zone = receivedAt, listed.ColdRemaining, listed.Zone
+	s.reportedUntil = receivedAt.Add(listed.ColdRemaining)
+	if !receivedAt.Before(s.assumedAt.Add(MaxEntryAge)) {
+		s.assumed = coldPeriod{}
 	}
 }
 
-// suspect notes what happened after which a worker may be cold for so long.
-func (s *standing) suspect(now time.Time, last time.Duration, reason Reason) {
-	s.doubted = now
-	if until := now.Add(last); until.After(s.doubt.until) {
-		s.doubt = spell{until: until, reason: reason}
+// assumeCold assumes that the worker is cold for a duration, because of an event that happened
+// now.
+func (s *workerState) assumeCold(now time.Time, duration time.Duration, reason Reason) {
+	s.assumedAt = now
+	if until := now.Add(duration); until.After(s.assumed.until) {
+		s.assumed = coldPeriod{until: until, reason: reason}
 	}
 }
 
-// settle puts what follows in force, and returns why the worker begins to count as cold; Warm
-// where it does not, or did before.
-func (s *standing) settle(now time.Time) Reason {
-	next := spell{until: s.reportedUntil, reason: Reported}
-	if s.doubt.until.After(s.reportedUntil) {
-		next = s.doubt
+// updateCurrent updates the current cold period. It returns the reason if the worker starts to
+// count as cold, and Warm otherwise.
+func (s *workerState) updateCurrent(now time.Time) Reason {
+	next := coldPeriod{until: s.reportedUntil, reason: Reported}
+	if s.assumed.until.After(s.reportedUntil) {
+		next = s.assumed
 	}
-	before := s.holds.Load()
-	if before != nil && *before == next {
+	previous := s.current.Load()
+	if previous != nil && *previous == next {
 		return Warm
 	}
-	held := next
-	s.holds.Store(&held)
-	if before != nil && before.at(now) != Warm {
+	stored := next
+	s.current.Store(&stored)
+	if previous != nil && previous.reasonAt(now) != Warm {
 		return Warm
 	}
-	return next.at(now)
+	return next.reasonAt(now)
 }
 
-// Unreachable notes that a worker was not reached, or fell silent: it may have been started
-// again, and its entry does not show it yet.
+// RecordUnreachable records that a worker was not reached or stopped answering. It may have been
+// restarted without its entry showing it yet.
 func (t *Tracker) RecordUnreachable(worker string) {
-	t.revise(worker, func(known *standing, cold route.Cold, now time.Time) {
-		known.suspect(now, cold.For, Unreachable)
+	t.modify(worker, func(state *workerState, cold route.Cold, now time.Time) {
+		state.assumeCold(now, cold.For, Unreachable)
 	})
 }
 
-// RecordReport takes a worker's own report, from an answer to a request that was sent at a time, of for
-// how long it is cold. Where that is not at all it ends what was believed before the request
-// was sent.
-func (t *Tracker) RecordReport(worker string, sent time.Time, left time.Duration) {
-	t.revise(worker, func(known *standing, _ route.Cold, now time.Time) {
-		if left > 0 {
-			known.reportedUntil = now.Add(left)
+// RecordReport records how long a worker remains cold by its own report, which came with the
+// answer to a request sent at sentAt. If it is not cold, this ends whatever was reported or
+// assumed before sentAt.
+func (t *Tracker) RecordReport(worker string, sentAt time.Time, coldRemaining time.Duration) {
+	t.modify(worker, func(state *workerState, _ route.Cold, now time.Time) {
+		if coldRemaining > 0 {
+			state.reportedUntil = now.Add(coldRemaining)
 			return
 		}
-		if known.received.Before(sent) {
-			known.reportedUntil = sent
+		if state.receivedAt.Before(sentAt) {
+			state.reportedUntil = sentAt
 		}
-		if known.doubted.Before(sent) {
-			known.doubt = spell{}
+		if state.assumedAt.Before(sentAt) {
+			state.assumed = coldPeriod{}
 		}
 	})
 }
 
-// revise changes what is known of a worker.
-func (t *Tracker) revise(worker string, change func(known *standing, cold route.Cold, now time.Time)) {
+// modify changes the state of a worker.
+func (t *Tracker) modify(worker string, change func(state *workerState, cold route.Cold, now time.Time)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known, current := t.workers[worker], t.state.Load()
-	if known == nil {
+	state, current := t.workers[worker], t.snapshot.Load()
+	if state == nil {
 		return
 	}
-	change(known, current.declared[known.service], t.now())
+	change(state, current.coldServices[state.service], t.now())
 	t.publish(slices.Values([]string{worker}))
 }
 
-// publish puts what is known of workers in force, and reports those that begin to count as
-// cold. The mutex is held.
+// publish updates the current cold periods of workers, and reports those that start to count as
+// cold. The caller must hold the mutex.
 func (t *Tracker) publish(workers iter.Seq[string]) {
 	now := t.now()
-	begun := make(map[Reason][]string)
+	started := make(map[Reason][]string)
 	for id := range workers {
-		if reason := t.workers[id].settle(now); reason != Warm {
-			begun[reason] = append(begun[reason], id)
+		if reason := t.workers[id].updateCurrent(now); reason != Warm {
+			started[reason] = append(started[reason], id)
 		}
 	}
-	if t.changed == nil {
+	if t.onCold == nil {
 		return
 	}
-	for _, reason := range slices.Sorted(maps.Keys(begun)) {
-		slices.Sort(begun[reason])
-		t.changed(reason, begun[reason])
+	for _, reason := range slices.Sorted(maps.Keys(started)) {
+		slices.Sort(started[reason])
+		t.onCold(reason, started[reason])
 	}
 }
--- a/internal/loan/amount.go
+++ b/internal/loan/amount.go
@@ -1,20 +1,21 @@
 package loan
 
 const (
-	// turnsLent is for how many turns at their most is lent at a time. More saves calls,
-	// and keeps more from a program's turns in other zones.
-	turnsLent = 3
-	// shareLent is the part of what is left of a budget, one in so many, that is lent at
-	// most, so that a turn elsewhere seldom has to take a loan back.
-	shareLent = 2
+	// maxTurnsPerLoan is the maximum number of turns, at their maximum size, that a loan covers.
+	// A larger value saves calls to a majority, but withholds more budget from the program's
+	// turns in other zones.
+	maxTurnsPerLoan = 3
+	// remainingBudgetDivisor limits a loan to this fraction (one half) of the remaining budget,
+	// so that turns in other zones seldom have to recall it.
+	remainingBudgetDivisor = 2
 )
 
-// Amount returns how much of a budget is lent with a turn that generates most tokens at
-// most, where left is what the budget holds beside it. It is 0 where a loan would not hold
-// one such turn.
-func Amount(most, left int64) int64 {
-	amount := min(turnsLent*most, left/shareLent)
-	if most <= 0 || amount < most {
+// Amount returns how many tokens of a budget are lent with a turn that generates at most
+// maxTokens. available is the rest of the budget without this turn. The result is 0 if the loan
+// could not cover one such turn.
+func Amount(maxTokens, available int64) int64 {
+	amount := min(maxTurnsPerLoan*maxTokens, available/remainingBudgetDivisor)
+	if maxTokens <= 0 || amount < maxTokens {
 		return 0
 	}
 	return amount
--- a/internal/loan/amount_test.go
+++ b/internal/loan/amount_test.go
@@ -14,61 +14,61 @@
 	require.EqualValues(t, 30, Amount(10, 1000))
 }
 
-// outcome is what a way to lend cost in the model.
-type outcome struct {
-	// rounds are calls to a majority, draws calls to a holder, own loans that a turn in the
-	// holder's zone took back, away those that a turn in another zone did: it is refused
-	// where the holder is cut off.
-	rounds, draws, own, away int
+// lendingCost is the cost of a lending policy in the model.
+type lendingCost struct {
+	// quorumCalls are calls to a majority and holderCalls are calls to a holder. localRecalls are
+	// loans recalled by a turn in the holder's zone. remoteRecalls are loans recalled by a turn
+	// in another zone, which is refused if the holder is unreachable.
+	quorumCalls, holderCalls, localRecalls, remoteRecalls int
 }
 
-// play lets programs of the model take their turns one after the other: budgets of two to
-// eight turns' most, turns that use a third to all of their most, and one turn in ten in
-// another zone.
-func play(amount func(most, left int64) int64) (total outcome) {
-	const most = 100
+// simulateLending runs the turns of the model's programs one after the other. Budgets cover two
+// to eight turns of maximum size, turns use between a third and all of their maximum, and one
+// turn in ten is in another zone.
+func simulateLending(loanAmount func(maxTokens, available int64) int64) (cost lendingCost) {
+	const maxTokens = 100
 	random := rand.New(rand.NewPCG(3, 5))
 	for range 2000 {
-		budget := most * int64(2+random.IntN(7))
-		var used, lent int64
+		budget := maxTokens * int64(2+random.IntN(7))
+		var used, onLoan int64
 		for zone, holder := 0, -1; ; {
 			if random.IntN(10) == 0 {
 				zone = 1 - zone
 			}
-			turn := int64(most/3 + random.IntN(2*most/3))
+			turnTokens := int64(maxTokens/3 + random.IntN(2*maxTokens/3))
 			if holder == zone {
-				if total.draws++; lent >= most {
-					lent, used = lent-turn, used+turn
+				if cost.holderCalls++; onLoan >= maxTokens {
+					onLoan, used = onLoan-turnTokens, used+turnTokens
 					continue
 				}
 			}
-			if total.rounds++; used+lent+most > budget {
-				if lent == 0 || used+most > budget {
+			if cost.quorumCalls++; used+onLoan+maxTokens > budget {
+				if onLoan == 0 || used+maxTokens > budget {
 					break
 				}
-				if total.rounds++; holder == zone {
-					total.own++
+				if cost.quorumCalls++; holder == zone {
+					cost.localRecalls++
 				} else {
-					total.away++
+					cost.remoteRecalls++
 				}
-				lent, holder = 0, -1
+				onLoan, holder = 0, -1
 			}
-			used += turn
-			if more := amount(most, budget-used-lent); more > 0 && holder != 1-zone {
-				lent, holder = lent+more, zone
+			used += turnTokens
+			if lent := loanAmount(maxTokens, budget-used-onLoan); lent > 0 && holder != 1-zone {
+				onLoan, holder = onLoan+lent, zone
 			}
 		}
 	}
-	return total
+	return cost
 }
 
-// TestLendingReducesQuorumCallsAndRemoteRecalls compares ways to lend in the model.
+// TestLendingReducesQuorumCallsAndRemoteRecalls compares lending policies in the model.
 func TestLendingReducesQuorumCallsAndRemoteRecalls(t *testing.T) {
-	none := play(func(int64, int64) int64 { return 0 })
-	chosen := play(Amount)
-	everything := play(func(_, left int64) int64 { return left })
-	twoThirds := play(func(most, left int64) int64 { return min(3*most, 2*left/3) })
-	t.Logf("nothing lent %+v, half %+v, two thirds %+v, everything %+v", none, chosen, twoThirds, everything)
-	require.Less(t, chosen.rounds, none.rounds)
-	require.Less(t, chosen.away, everything.away)
+	nothing := simulateLending(func(int64, int64) int64 { return 0 })
+	actual := simulateLending(Amount)
+	everything := simulateLending(func(_, available int64) int64 { return available })
+	twoThirds := simulateLending(func(maxTokens, available int64) int64 { return min(3*maxTokens, 2*available/3) })
+	t.Logf("no loans %+v, half of the budget %+v, two thirds %+v, all of it %+v", nothing, actual, twoThirds, everything)
+	require.Less(t, actual.quorumCalls, nothing.quorumCalls)
+	require.Less(t, actual.remoteRecalls, everything.remoteRecalls)
 }
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -6,128 +6,133 @@
 	"time"
 )
 
-// Allowance is what one gateway may let in for one tenant. It is safe for concurrent use.
+// Allowance tracks the requests that one gateway may admit for one tenant. It is safe for
+// concurrent use.
 type Allowance struct {
 	mutex  sync.Mutex
-	grants []held
-	// taken counts the requests let in since asked, when a member was last asked.
-	taken int
-	asked time.Time
-	// refusal is what members last said to programs under way, openingRefusal to such as
-	// begin.
-	refusal, openingRefusal Refusal
+	grants []remainingGrant
+	// admittedSinceRequest is the number of requests admitted since lastRequestedAt, when a
+	// member was last asked.
+	admittedSinceRequest int
+	lastRequestedAt      time.Time
+	// refusal is the latest refusal for running programs, newProgramRefusal that for requests
+	// which start a program.
+	refusal, newProgramRefusal Refusal
 }
 
-// Refusal is the word of members that they have nothing to grant.
+// Refusal is the members' answer that they have nothing to grant.
 type Refusal struct {
-	// ReceivedAt is when they said so, Until when one of them has a further request to grant.
+	// ReceivedAt is when the members refused. RetryAt is when one of them can grant a request
+	// again.
 	ReceivedAt, RetryAt time.Time
-	// Replicas is how many said so.
+	// Replicas is the number of members that refused.
 	Replicas int
 }
 
-// held is what is left of a grant.
-type held struct {
-	requests int
-	plenty   bool
-	expires  time.Time
+// remainingGrant is the unused part of a grant.
+type remainingGrant struct {
+	requests           int
+	newProgramsAllowed bool
+	expiresAt          time.Time
 }
 
-// Permit is one request that may be let in.
+// Permit permits the admission of one request.
 type Permit struct {
-	plenty  bool
-	expires time.Time
+	newProgramsAllowed bool
+	expiresAt          time.Time
 }
 
-// IsValid reports whether the pass may still be used.
-func (p Permit) IsValid(now time.Time) bool { return now.Before(p.expires) }
+// IsValid reports whether the permit may still be used.
+func (p Permit) IsValid(now time.Time) bool { return now.Before(p.expiresAt) }
 
 const (
-	// mostWanted bounds what a gateway asks for at once.
-	mostWanted = 64
-	// demandMemory is for how long what was let in tells what to expect.
-	demandMemory = 2 * time.Second
+	// maxRequested is the maximum number of requests that a gateway asks for at once.
+	maxRequested = 64
+	// demandWindow is how long past admissions are used to estimate demand.
+	demandWindow = 2 * time.Second
 )
 
-// Take lets a request in if something granted is left for it.
-func (a *Allowance) Take(now time.Time, opening bool) (Permit, bool) {
+// Take takes a permit for a request, if a grant has one left. A request that starts a program only
+// takes permits that allow this.
+func (a *Allowance) Take(now time.Time, startsProgram bool) (Permit, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.dropExpired(now)
 	for i := range a.grants {
 		grant := &a.grants[i]
-		if grant.requests == 0 || opening && !grant.plenty {
+		if grant.requests == 0 || startsProgram && !grant.newProgramsAllowed {
 			continue
 		}
 		grant.requests--
-		a.taken++
-		return Permit{plenty: grant.plenty, expires: grant.expires}, true
+		a.admittedSinceRequest++
+		return Permit{newProgramsAllowed: grant.newProgramsAllowed, expiresAt: grant.expiresAt}, true
 	}
 	return Permit{}, false
 }
 
-// ReturnUnused gives a pass back whose request has not run and never will.
-func (a *Allowance) ReturnUnused(now time.Time, pass Permit) {
+// ReturnUnused returns the permit of a request that has not run and never will.
+func (a *Allowance) ReturnUnused(now time.Time, permit Permit) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.taken--
-	if now.Before(pass.expires) {
-		a.grants = append(a.grants, held{requests: 1, plenty: pass.plenty, expires: pass.expires})
+	a.admittedSinceRequest--
+	if now.Before(permit.expiresAt) {
+		a.grants = append(a.grants, remainingGrant{requests: 1, newProgramsAllowed: permit.newProgramsAllowed, expiresAt: permit.expiresAt})
 	}
 }
 
-// RequestSize returns how many requests to ask for where so many wait: as many more as have
-// lately been let in within the lifetime of a grant.
+// RequestSize returns how many requests to ask for: the waiting ones, plus the number recently
+// admitted per grant lifetime.
 func (a *Allowance) RequestSize(now time.Time, waiting int) int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	since := now.Sub(a.asked)
+	elapsed := now.Sub(a.lastRequestedAt)
 	expected := 0
-	if since > 0 && since < demandMemory {
-		expected = int(float64(a.taken) * min(1, GrantLifetime.Seconds()/since.Seconds()))
+	if elapsed > 0 && elapsed < demandWindow {
+		expected = int(float64(a.admittedSinceRequest) * min(1, GrantLifetime.Seconds()/elapsed.Seconds()))
 	}
-	a.taken, a.asked = 0, now
-	return min(mostWanted, waiting+expected)
+	a.admittedSinceRequest, a.lastRequestedAt = 0, now
+	return min(maxRequested, waiting+expected)
 }
 
-// AddGrant takes a grant that was asked for at a time.
-func (a *Allowance) AddGrant(asked time.Time, grant Grant) {
+// AddGrant adds a grant. requestedAt is when it was requested.
+func (a *Allowance) AddGrant(requestedAt time.Time, grant Grant) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.grants = append(a.grants, held{requests: grant.Requests, plenty: grant.NewProgramsAllowed, expires: asked.Add(GrantLifetime)})
+	a.grants = append(a.grants, remainingGrant{requests: grant.Requests, newProgramsAllowed: grant.NewProgramsAllowed, expiresAt: requestedAt.Add(GrantLifetime)})
 }
 
-// RecordRefusal notes that all members that were reached grant nothing. What is refused to
-// programs under way is refused to such as begin too.
-func (a *Allowance) RecordRefusal(refusal Refusal, opening bool) {
+// RecordRefusal records that all reachable members have nothing to grant. A refusal for running
+// programs also applies to requests that start a program.
+func (a *Allowance) RecordRefusal(refusal Refusal, startsProgram bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.openingRefusal = refusal
-	if !opening {
+	a.newProgramRefusal = refusal
+	if !startsProgram {
 		a.refusal = refusal
 	}
 }
 
-// ActiveRefusal returns what members said, if it holds now.
-func (a *Allowance) ActiveRefusal(now time.Time, opening bool) (refusal Refusal, refused bool) {
+// ActiveRefusal returns the latest refusal and whether it still applies.
+func (a *Allowance) ActiveRefusal(now time.Time, startsProgram bool) (refusal Refusal, active bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	refusal = a.refusal
-	if opening {
-		refusal = a.openingRefusal
+	if startsProgram {
+		refusal = a.newProgramRefusal
 	}
 	return refusal, now.Before(refusal.RetryAt)
 }
 
-// IsIdle reports whether nothing was let in or asked for lately.
+// IsIdle reports whether there is no unused grant, no recent request to members and no active
+// refusal.
 func (a *Allowance) IsIdle(now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.dropExpired(now)
-	return len(a.grants) == 0 && now.Sub(a.asked) > demandMemory && !now.Before(a.refusal.RetryAt)
+	return len(a.grants) == 0 && now.Sub(a.lastRequestedAt) > demandWindow && !now.Before(a.refusal.RetryAt)
 }
 
-// dropExpired drops what may not be used any more. The mutex is held.
+// dropExpired drops used and expired grants. The caller must hold the mutex.
 func (a *Allowance) dropExpired(now time.Time) {
-	a.grants = slices.DeleteFunc(a.grants, func(grant held) bool { return grant.requests == 0 || !now.Before(grant.expires) })
+	a.grants = slices.DeleteFunc(a.grants, func(grant remainingGrant) bool { return grant.requests == 0 || !now.Before(grant.expiresAt) })
 }
--- a/internal/quota/granter.go
+++ b/internal/quota/granter.go
@@ -7,129 +7,131 @@
 	"github.com/barleyshelf/barleyshelf/internal/limit"
 )
 
-// GrantRequest is a gateway's wish to let requests of a tenant in.
+// GrantRequest is a gateway's request for a grant for a tenant.
 type GrantRequest struct {
 	Tenant string
 	Limit  Limit
-	// Replicas is how many members share the limit.
+	// Members is the number of members that share the limit.
 	Members int
-	// SeatSince is when this member began to hold its seat; it grants nothing that it would
-	// have gained before.
+	// SeatSince is when this member took its seat. It does not grant what the seat would have
+	// gained before.
 	SeatSince time.Time
-	// RequestSize is how many requests the gateway asks for.
+	// Wanted is the number of requests that the gateway asks for.
 	Wanted int
-	// StartsProgram is set where the first of them begins a program.
+	// StartsProgram is set if the first of them starts a program.
 	StartsProgram bool
 }
 
 // Grant is a member's answer.
 type Grant struct {
-	// Requests is how many the gateway may let in, for Lifetime from when it asked.
+	// Requests is the number of requests that the gateway may admit, within GrantLifetime after
+	// it asked.
 	Requests int
-	// NewProgramsAllowed is set where programs may be begun with them.
+	// NewProgramsAllowed is set if these requests may start programs.
 	NewProgramsAllowed bool
-	// RetryAfter is when the member has a further request to grant.
+	// RetryAfter is the time after which the member can grant another request.
 	RetryAfter time.Duration
 }
 
-// openingReserve is the part of a member's capacity that is kept for programs under way:
-// a program that is refused in its middle has used what its turns before cost in vain.
-const openingReserve = 0.1
+// runningProgramReserve is the fraction of a member's capacity reserved for running programs. If
+// a running program is refused, the cost of its earlier turns is wasted.
+const runningProgramReserve = 0.1
 
-// Granter grants one member's parts of tenants' limits. It is safe for concurrent use.
+// Granter grants one member's shares of tenants' limits. It is safe for concurrent use.
 type Granter struct {
 	tolerance Tolerance
 
 	mutex sync.Mutex
-	// tenants are the parts in use, by tenant.
-	tenants map[string]*part
+	// shares are the shares in use, by tenant.
+	shares map[string]*share
 }
 
-// part is one member's part of a tenant's limit.
-type part struct {
-	// limit is the one with the highest version that any gateway has named.
+// share is one member's share of a tenant's limit.
+type share struct {
+	// limit is the limit with the highest version received from any gateway.
 	limit   Limit
 	members int
-	terms   terms
-	// since is when this process took the seat that the part belongs to.
-	since  time.Time
-	bucket limit.Bucket
+	params  bucketParams
+	// seatSince is when this process took the seat that the share belongs to.
+	seatSince time.Time
+	bucket    limit.Bucket
 }
 
-// NewGranter returns a granter that has granted nothing.
+// NewGranter returns a granter that has granted nothing yet.
 func NewGranter(tolerance Tolerance) *Granter {
-	return &Granter{tolerance: tolerance, tenants: make(map[string]*part)}
+	return &Granter{tolerance: tolerance, shares: make(map[string]*share)}
 }
 
-// Grant answers a gateway.
-func (g *Granter) Grant(now time.Time, ask GrantRequest) Grant {
+// Grant answers a gateway's request.
+func (g *Granter) Grant(now time.Time, request GrantRequest) Grant {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	held := g.part(now, ask)
-	held.bucket.Refill(now, limit.Rate(held.terms.rate), held.terms.capacity)
-	reserve := openingReserve * held.terms.capacity
-	if held.terms.capacity < 1/openingReserve {
-		// A part this small holds less than one request back.
+	memberShare := g.currentShare(now, request)
+	memberShare.bucket.Refill(now, limit.Rate(memberShare.params.rate), memberShare.params.capacity)
+	reserve := runningProgramReserve * memberShare.params.capacity
+	if memberShare.params.capacity < 1/runningProgramReserve {
+		// In such a small share the reserve would be less than one request.
 		reserve = 0
 	}
-	least := 1.0
-	if ask.StartsProgram {
-		least += reserve
+	required := 1.0
+	if request.StartsProgram {
+		required += reserve
 	}
-	if held.bucket.Tokens < least {
-		return Grant{RetryAfter: timeFor(least-held.bucket.Tokens, held.terms.rate)}
+	if memberShare.bucket.Tokens < required {
+		return Grant{RetryAfter: refillTime(required-memberShare.bucket.Tokens, memberShare.params.rate)}
 	}
-	granted := min(max(ask.Wanted, 1), int(held.bucket.Tokens-least+1), held.mostAtATime())
-	held.bucket.Tokens -= float64(granted)
+	granted := min(max(request.Wanted, 1), int(memberShare.bucket.Tokens-required+1), memberShare.maxGrant())
+	memberShare.bucket.Tokens -= float64(granted)
 	return Grant{
-		Requests: granted, NewProgramsAllowed: held.bucket.Tokens >= reserve,
-		RetryAfter: timeFor(max(0, 1-held.bucket.Tokens), held.terms.rate),
+		Requests: granted, NewProgramsAllowed: memberShare.bucket.Tokens >= reserve,
+		RetryAfter: refillTime(max(0, 1-memberShare.bucket.Tokens), memberShare.params.rate),
 	}
 }
 
-// mostOfPart is the part of what a member has that one gateway gets at a time: what one
-// does not use in its lifetime is lost to the others.
-const mostOfPart = 0.25
+// maxGrantFraction is the fraction of a share's tokens that one gateway gets at a time. Requests
+// that a gateway does not use within GrantLifetime are lost to the others.
+const maxGrantFraction = 0.25
 
-// mostAtATime returns how many requests one gateway gets at most.
-func (p *part) mostAtATime() int { return max(1, int(mostOfPart*p.bucket.Tokens)) }
+// maxGrant returns the maximum number of requests granted to one gateway at a time.
+func (s *share) maxGrant() int { return max(1, int(maxGrantFraction*s.bucket.Tokens)) }
 
-// part returns this member's part of a tenant's limit under the newest terms.
-func (g *Granter) part(now time.Time, ask GrantRequest) *part {
-	held := g.tenants[ask.Tenant]
-	if held == nil || held.since.Before(ask.SeatSince) {
-		held = &part{since: ask.SeatSince, bucket: limit.Bucket{Updated: ask.SeatSince}}
-		g.tenants[ask.Tenant] = held
+// currentShare returns this member's share of a tenant's limit, updated to the newest limit and
+// number of members.
+func (g *Granter) currentShare(now time.Time, request GrantRequest) *share {
+	memberShare := g.shares[request.Tenant]
+	if memberShare == nil || memberShare.seatSince.Before(request.SeatSince) {
+		memberShare = &share{seatSince: request.SeatSince, bucket: limit.Bucket{Updated: request.SeatSince}}
+		g.shares[request.Tenant] = memberShare
 	}
-	if ask.Limit.Version > held.limit.Version || held.members != ask.Members {
-		held.bucket.Refill(now, limit.Rate(held.terms.rate), held.terms.capacity)
-		if ask.Limit.Version >= held.limit.Version {
-			held.limit = ask.Limit
+	if request.Limit.Version > memberShare.limit.Version || memberShare.members != request.Members {
+		memberShare.bucket.Refill(now, limit.Rate(memberShare.params.rate), memberShare.params.capacity)
+		if request.Limit.Version >= memberShare.limit.Version {
+			memberShare.limit = request.Limit
 		}
-		held.members = ask.Members
-		first := held.terms == terms{}
-		held.terms = termsOf(held.limit, g.tolerance, held.members)
-		if first {
-			held.bucket.Updated = held.since
+		memberShare.members = request.Members
+		isNew := memberShare.params == bucketParams{}
+		memberShare.params = memberBucketParams(memberShare.limit, g.tolerance, memberShare.members)
+		if isNew {
+			memberShare.bucket.Updated = memberShare.seatSince
 		}
 	}
-	return held
+	return memberShare
 }
 
-// DropFull drops the parts that are full: one that is asked for again is as full.
+// DropFull drops full shares, because a share that is recreated is equally full.
 func (g *Granter) DropFull(now time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for tenant, held := range g.tenants {
-		idle := held.terms.rate * now.Sub(held.bucket.Updated).Seconds()
-		sinceSeat := held.terms.rate * now.Sub(held.since).Seconds()
-		if held.bucket.Tokens+idle >= held.terms.capacity && sinceSeat >= held.terms.capacity {
-			delete(g.tenants, tenant)
+	for tenant, memberShare := range g.shares {
+		refilled := memberShare.params.rate * now.Sub(memberShare.bucket.Updated).Seconds()
+		gainedSinceSeat := memberShare.params.rate * now.Sub(memberShare.seatSince).Seconds()
+		if memberShare.bucket.Tokens+refilled >= memberShare.params.capacity && gainedSinceSeat >= memberShare.params.capacity {
+			delete(g.shares, tenant)
 		}
 	}
 }
 
-// timeFor returns the time in which a rate gains a number of requests.
-func timeFor(requests, rate float64) time.Duration {
+// refillTime returns the time in which a number of requests is gained at a rate.
+func refillTime(requests, rate float64) time.Duration {
 	return time.Duration(requests / rate * float64(time.Second))
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,191 +8,192 @@
 	"pgregory.net/rapid"
 )
 
-// usual is the tolerance of the users' sheet.
-var usual = Tolerance{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
-
-// greed asks all members for as much as they have through all gateways, and lets in all
-// that it gets.
-func (f *fleet) greed(opening bool) {
-	for _, each := range f.gateways {
-		for member := range f.seats {
-			f.ask(each, member, mostWanted, opening, false, 0)
+// testTolerance is the tolerance given in the users' specification.
+var testTolerance = Tolerance{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
+
+// requestAndAdmitAll requests as much as possible from all members through all gateways, and
+// admits everything granted.
+func (s *simulation) requestAndAdmitAll(startsProgram bool) {
+	for _, requester := range s.gateways {
+		for member := range s.seats {
+			s.requestGrant(requester, member, maxRequested, startsProgram, false, 0)
 		}
 	}
-	f.step(0)
-	for _, each := range f.gateways {
-		f.let(each, 1<<20, opening)
+	s.step(0)
+	for _, requester := range s.gateways {
+		s.admit(requester, 1<<20, startsProgram)
 	}
 }
 
-// grab gets all that members have and keeps it for later.
-func (f *fleet) grab() {
+// requestWithoutAdmitting requests everything that members have and keeps it for later.
+func (s *simulation) requestWithoutAdmitting() {
 	for range 20 {
-		for _, each := range f.gateways {
-			for member := range f.seats {
-				f.ask(each, member, mostWanted, false, false, 0)
+		for _, requester := range s.gateways {
+			for member := range s.seats {
+				s.requestGrant(requester, member, maxRequested, false, false, 0)
 			}
 		}
 	}
-	f.step(0)
+	s.step(0)
 }
 
 func TestAdmittedRequestsStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(rapid.IntRange(1, 5).Draw(t, "members"), rapid.IntRange(1, 6).Draw(t, "gateways"), drawLimit(t), usual, sound)
-		f.step(time.Duration(rapid.IntRange(0, 8000).Draw(t, "calm")) * time.Millisecond)
-		f.play(t, false)
-		require.NoError(t, f.check(0))
+		s := newSimulation(rapid.IntRange(1, 5).Draw(t, "members"), rapid.IntRange(1, 6).Draw(t, "gateways"), drawLimit(t), testTolerance, noFault)
+		s.step(time.Duration(rapid.IntRange(0, 8000).Draw(t, "calm")) * time.Millisecond)
+		s.runRandom(t, false)
+		require.NoError(t, s.check(0))
 	})
 }
 
-// TestLoweredLimitTakesEffectWithinWindow lets some gateways hear of new limits late. One that
-// has not heard asks members that another one has told.
+// TestLoweredLimitTakesEffectWithinWindow delivers new limits to some gateways late. A gateway
+// with an old limit asks members that have received the new one from another gateway.
 func TestLoweredLimitTakesEffectWithinWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(3, rapid.IntRange(1, 4).Draw(t, "gateways"), drawLimit(t), usual, sound)
-		f.step(8 * time.Second)
-		f.play(t, true)
-		for _, each := range f.gateways {
-			each.limit = f.limit
+		s := newSimulation(3, rapid.IntRange(1, 4).Draw(t, "gateways"), drawLimit(t), testTolerance, noFault)
+		s.step(8 * time.Second)
+		s.runRandom(t, true)
+		for _, current := range s.gateways {
+			current.limit = s.limit
 		}
-		f.greed(false)
-		f.step(GrantLifetime)
-		f.letIn = nil
-		f.limits = []declaredLimit{{limit: f.limit, since: f.now}}
+		s.requestAndAdmitAll(false)
+		s.step(GrantLifetime)
+		s.admittedAt = nil
+		s.limitHistory = []declaredLimit{{limit: s.limit, since: s.now}}
 		for range 100 {
-			f.greed(false)
-			f.step(100 * time.Millisecond)
+			s.requestAndAdmitAll(false)
+			s.step(100 * time.Millisecond)
 		}
-		require.NoError(t, f.check(0))
+		require.NoError(t, s.check(0))
 	})
 }
 
-// worst plays the schedule that takes the most: everything is granted at once, used at the
-// end of its lifetime, and asked for again and again.
-func worst(members, gateways int, limit Limit, tolerance Tolerance, broken breakage) *fleet {
-	f := newFleet(members, gateways, limit, tolerance, broken)
-	f.step(time.Minute)
+// runWorstCase runs the schedule with the most admissions: everything is granted at once, used at
+// the end of its lifetime, and requested again repeatedly.
+func runWorstCase(members, gateways int, limit Limit, tolerance Tolerance, fault faultKind) *simulation {
+	s := newSimulation(members, gateways, limit, tolerance, fault)
+	s.step(time.Minute)
 	for range 20 {
-		f.grab()
-		f.step(GrantLifetime - time.Millisecond)
+		s.requestWithoutAdmitting()
+		s.step(GrantLifetime - time.Millisecond)
 	}
 	for range 600 {
-		f.greed(false)
-		f.step(10 * time.Millisecond)
+		s.requestAndAdmitAll(false)
+		s.step(10 * time.Millisecond)
 	}
-	return f
+	return s
 }
 
 func TestWorstCaseScheduleStaysWithinLimit(t *testing.T) {
 	for _, limit := range []Limit{{Rate: 1, Burst: 1}, {Rate: 5, Burst: 5}, {Rate: 40, Burst: 10}, {Rate: 390, Burst: 390}, {Rate: 3000, Burst: 0}} {
 		limit.Version = 1
 		for _, members := range []int{1, 3, 5} {
-			require.NoError(t, worst(members, 4, limit, usual, sound).check(0), "%+v at %d members", limit, members)
+			require.NoError(t, runWorstCase(members, 4, limit, testTolerance, noFault).check(0), "%+v at %d members", limit, members)
 		}
 	}
 }
 
 func TestFaultsAreDetected(t *testing.T) {
 	limit := Limit{Rate: 40, Burst: 40, Version: 1}
-	for broken, name := range map[breakage]string{
-		grantCountedTwice: "a grant counted twice", grantNeverExpires: "a grant that never expires", partsNotShared: "parts that are not shared",
+	for fault, name := range map[faultKind]string{
+		grantCountedTwice: "a grant counted twice", grantNeverExpires: "a grant that never expires", undividedLimit: "a limit that is not divided",
 	} {
-		require.Error(t, worst(5, 4, limit, usual, broken).check(0), name)
+		require.Error(t, runWorstCase(5, 4, limit, testTolerance, fault).check(0), name)
 	}
 }
 
-// killedInTurn kills each member right after it has granted all that it had.
-func killedInTurn(broken breakage) *fleet {
-	f := newFleet(5, 2, Limit{Rate: 40, Burst: 40, Version: 1}, usual, broken)
-	f.step(time.Minute)
+// runWithRestarts kills each member right after it has granted everything it had.
+func runWithRestarts(fault faultKind) *simulation {
+	s := newSimulation(5, 2, Limit{Rate: 40, Burst: 40, Version: 1}, testTolerance, fault)
+	s.step(time.Minute)
 	for range 14 {
-		f.grab()
-		f.greed(false)
-		for member := range f.seats {
-			f.seats[member] = f.newSeat()
+		s.requestWithoutAdmitting()
+		s.requestAndAdmitAll(false)
+		for member := range s.seats {
+			s.seats[member] = s.newSeat()
 		}
-		f.step(300 * time.Millisecond)
+		s.step(300 * time.Millisecond)
 	}
-	return f
+	return s
 }
 
 func TestRestartedMembersStayWithinLimit(t *testing.T) {
-	require.NoError(t, killedInTurn(sound).check(0))
-	require.Error(t, killedInTurn(bornFull).check(0), "a member that is born full is seen")
+	require.NoError(t, runWithRestarts(noFault).check(0))
+	require.Error(t, runWithRestarts(startsFull).check(0), "a member that starts with a full share must be detected")
 }
 
-// lowered lowers a limit and asks for everything after it.
-func lowered(broken breakage) *fleet {
-	f := newFleet(3, 2, Limit{Rate: 400, Burst: 400, Version: 1}, usual, broken)
-	f.step(time.Minute)
-	f.greed(false)
-	f.declare(Limit{Rate: 10, Burst: 10}, func(int) bool { return true })
-	f.step(usual.Window + GrantLifetime)
+// runWithLoweredLimit lowers a limit and then requests as much as possible.
+func runWithLoweredLimit(fault faultKind) *simulation {
+	s := newSimulation(3, 2, Limit{Rate: 400, Burst: 400, Version: 1}, testTolerance, fault)
+	s.step(time.Minute)
+	s.requestAndAdmitAll(false)
+	s.declare(Limit{Rate: 10, Burst: 10}, func(int) bool { return true })
+	s.step(testTolerance.Window + GrantLifetime)
 	for range 100 {
-		f.greed(false)
-		f.step(100 * time.Millisecond)
+		s.requestAndAdmitAll(false)
+		s.step(100 * time.Millisecond)
 	}
-	return f
+	return s
 }
 
 func TestLoweredLimitTakesEffect(t *testing.T) {
-	require.NoError(t, lowered(sound).check(usual.Window))
-	require.Error(t, lowered(staleLimit).check(usual.Window), "a limit that is read stale is seen")
+	require.NoError(t, runWithLoweredLimit(noFault).check(testTolerance.Window))
+	require.Error(t, runWithLoweredLimit(staleLimit).check(testTolerance.Window), "the use of a stale limit must be detected")
 }
 
-// TestLoadBelowLimitIsNotRefused plays a calm fleet below its limit: nothing is refused.
+// TestLoadBelowLimitIsNotRefused runs a load below the limit without faults: nothing may be
+// refused.
 func TestLoadBelowLimitIsNotRefused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := Limit{Rate: float64(rapid.IntRange(2, 400).Draw(t, "rate")), Version: 1}
 		limit.Burst = limit.Rate
 		members, gateways := 5, rapid.IntRange(1, 73).Draw(t, "gateways")
-		f := newFleet(members, gateways, limit, usual, sound)
-		f.step(time.Minute)
-		// Two thirds of the rate, in requests that come evenly at drawn gateways.
-		gap := time.Duration(1.5 / limit.Rate * float64(time.Second))
+		s := newSimulation(members, gateways, limit, testTolerance, noFault)
+		s.step(time.Minute)
+		// Evenly spaced requests at two thirds of the rate, each at a random gateway.
+		interval := time.Duration(1.5 / limit.Rate * float64(time.Second))
 		for range int(min(2000, 10*limit.Rate)) {
-			each := f.gateways[rapid.IntRange(0, gateways-1).Draw(t, "at")]
-			if f.let(each, 1, false) == 0 {
-				for member := 0; member < members && f.let(each, 1, false) == 0; member++ {
-					f.ask(each, member, 1, false, false, 0)
-					f.step(0)
+			admitting := s.gateways[rapid.IntRange(0, gateways-1).Draw(t, "at")]
+			if s.admit(admitting, 1, false) == 0 {
+				for member := 0; member < members && s.admit(admitting, 1, false) == 0; member++ {
+					s.requestGrant(admitting, member, 1, false, false, 0)
+					s.step(0)
 				}
 			}
-			f.step(gap)
+			s.step(interval)
 		}
-		require.Len(t, f.letIn, int(min(2000, 10*limit.Rate)))
+		require.Len(t, s.admittedAt, int(min(2000, 10*limit.Rate)))
 	})
 }
 
 func TestCapacityIsReservedForRunningPrograms(t *testing.T) {
-	f := newFleet(5, 1, Limit{Rate: 40, Burst: 40, Version: 1}, usual, sound)
-	f.step(time.Minute)
+	s := newSimulation(5, 1, Limit{Rate: 40, Burst: 40, Version: 1}, testTolerance, noFault)
+	s.step(time.Minute)
 	for range 40 {
-		f.greed(true)
+		s.requestAndAdmitAll(true)
 	}
-	opened := len(f.letIn)
+	startedPrograms := len(s.admittedAt)
 	for range 40 {
-		f.greed(false)
+		s.requestAndAdmitAll(false)
 	}
-	kept := len(f.letIn) - opened
-	require.InDelta(t, openingReserve, float64(kept)/float64(opened+kept), 0.1)
+	continued := len(s.admittedAt) - startedPrograms
+	require.InDelta(t, runningProgramReserve, float64(continued)/float64(startedPrograms+continued), 0.1)
 }
 
 func TestUnusedPermitCanBeTakenAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	allowance := &Allowance{}
 	allowance.AddGrant(now, Grant{Requests: 1, NewProgramsAllowed: true})
-	pass, found := allowance.Take(now, true)
+	permit, found := allowance.Take(now, true)
 	require.True(t, found)
 	_, found = allowance.Take(now, false)
 	require.False(t, found)
-	allowance.ReturnUnused(now, pass)
-	pass, found = allowance.Take(now, false)
+	allowance.ReturnUnused(now, permit)
+	permit, found = allowance.Take(now, false)
 	require.True(t, found)
-	allowance.ReturnUnused(now.Add(2*time.Second), pass)
+	allowance.ReturnUnused(now.Add(2*time.Second), permit)
 	_, found = allowance.Take(now.Add(2*time.Second), false)
-	require.False(t, found, "not beyond its lifetime")
+	require.False(t, found, "an expired permit must not be available again")
 }
 
 func TestRequestSizeFollowsRecentDemand(t *testing.T) {
@@ -203,7 +204,7 @@
 	for range 20 {
 		allowance.Take(now, false)
 	}
-	require.Equal(t, 11, allowance.RequestSize(now.Add(2*GrantLifetime), 1), "half of what was let in in two lifetimes")
+	require.Equal(t, 11, allowance.RequestSize(now.Add(2*GrantLifetime), 1), "half of the requests admitted during two grant lifetimes")
 	require.Equal(t, 2, allowance.RequestSize(now.Add(3*GrantLifetime), 2))
 }
 
@@ -211,13 +212,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limit := drawLimit(t)
 		start := time.Unix(1000, 0)
-		kept, swept := NewGranter(usual), NewGranter(usual)
+		withoutDrop, withDrop := NewGranter(testTolerance), NewGranter(testTolerance)
 		now := start
 		for range rapid.IntRange(1, 60).Draw(t, "asks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20000).Draw(t, "pause")) * time.Millisecond)
-			swept.DropFull(now)
-			ask := GrantRequest{Tenant: tenant, Limit: limit, Members: 3, SeatSince: start, Wanted: rapid.IntRange(1, 64).Draw(t, "wanted")}
-			require.Equal(t, kept.Grant(now, ask), swept.Grant(now, ask))
+			withDrop.DropFull(now)
+			request := GrantRequest{Tenant: tenant, Limit: limit, Members: 3, SeatSince: start, Wanted: rapid.IntRange(1, 64).Draw(t, "wanted")}
+			require.Equal(t, withoutDrop.Grant(now, request), withDrop.Grant(now, request))
 		}
 	})
 }
