--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -1,6 +1,6 @@
-// Package backlog orders requests that wait for a place at a service whose workers are
-// all full, and tells early which of them wait in vain. It does no I/O, reads no clock and
-// is not safe for concurrent use.
+// Package backlog queues requests for a service whose workers are all full, and detects early which
+// requests will not get a slot in time. It does no I/O, does not read a clock and is not safe for
+// concurrent use.
 package backlog
 
 import (
@@ -11,75 +11,76 @@
 	"github.com/barleyshelf/barleyshelf/internal/estimate"
 )
 
-// firstWait is for how long a place is waited for before any was seen to come: several
-// answers of a tool end within that, and one of a model worker with a dozen places.
-const firstWait = 400 * time.Millisecond
+// initialWaitEstimate is the assumed wait for a slot before any was observed. It is longer than
+// several responses of a tool, or one of a model worker with a dozen slots.
+const initialWaitEstimate = 400 * time.Millisecond
 
-// Entry is a request that waits.
+// Entry is a waiting request.
 type Entry struct {
-	// rank is the urgency of its kind; 0 goes first.
-	rank int
-	// latest is when it must have a place to be answered in its time.
-	latest time.Time
-	// joined is when it came.
-	joined time.Time
-	// serial is the order in which entries came.
-	serial uint64
+	// priorityRank is the priority of the request; 0 is the most urgent.
+	priorityRank int
+	// deadline is when the request must have a slot to be answered in time.
+	deadline time.Time
+	// enqueuedAt is when the request arrived.
+	enqueuedAt time.Time
+	// sequence numbers the requests in the order of their arrival.
+	sequence uint64
 }
 
-// Backlog is the requests that wait for one service: the more urgent kind first, then
-// those with less time left, then those that came first.
+// Backlog holds the requests that wait for one service, ordered by priority, then by deadline, then
+// by arrival.
 type Backlog struct {
-	limit   int
-	entries []*Entry
-	serial  uint64
-	// interval is the time between two requests that got a place while others waited.
-	interval estimate.Latency
-	// since is when the last one got a place, or, if none has since then, when the oldest
-	// came to an empty backlog.
-	since time.Time
-	// waits is how long those waited that got a place.
-	waits estimate.Latency
+	limit    int
+	entries  []*Entry
+	sequence uint64
+	// slotInterval is the time between two admissions while requests were waiting.
+	slotInterval estimate.Latency
+	// lastAdmission is the time of the last admission, or of the arrival at an empty backlog if
+	// that is later.
+	lastAdmission time.Time
+	// admittedWait is how long admitted requests waited.
+	admittedWait estimate.Latency
 }
 
-// New returns a backlog of up to limit requests.
+// New returns a backlog for up to limit requests.
 func New(limit int) *Backlog {
-	created := &Backlog{limit: limit}
-	created.waits.SetInitial(firstWait)
-	return created
+	backlog := &Backlog{limit: limit}
+	backlog.admittedWait.SetInitial(initialWaitEstimate)
+	return backlog
 }
 
-// precedes orders entries.
-func precedes(a, b *Entry) int {
-	return cmp.Or(cmp.Compare(a.rank, b.rank), a.latest.Compare(b.latest), cmp.Compare(a.serial, b.serial))
+// compareEntries returns the order of two entries.
+func compareEntries(a, b *Entry) int {
+	return cmp.Or(cmp.Compare(a.priorityRank, b.priorityRank), a.deadline.Compare(b.deadline), cmp.Compare(a.sequence, b.sequence))
 }
 
-// Enqueue adds a request. It returns nil where the request would wait in vain, or where the
-// backlog is full of those that go before it. In a full one the last gives way.
-func (b *Backlog) Enqueue(now time.Time, rank int, latest time.Time) *Entry {
+// Enqueue adds a request. It returns nil if the request is not expected to get a slot before its
+// deadline, or if the backlog is full of requests that precede it. In a full backlog the last entry
+// is dropped.
+func (b *Backlog) Enqueue(now time.Time, priorityRank int, deadline time.Time) *Entry {
 	if len(b.entries) == 0 {
-		b.since = now
+		b.lastAdmission = now
 	}
-	b.serial++
-	entry := &Entry{rank: rank, latest: latest, joined: now, serial: b.serial}
-	place, _ := slices.BinarySearchFunc(b.entries, entry, precedes)
-	if place >= b.limit || b.tooFarBack(now, place, latest) {
+	b.sequence++
+	entry := &Entry{priorityRank: priorityRank, deadline: deadline, enqueuedAt: now, sequence: b.sequence}
+	position, _ := slices.BinarySearchFunc(b.entries, entry, compareEntries)
+	if position >= b.limit || b.missesDeadline(now, position, deadline) {
 		return nil
 	}
-	b.insert(place, entry)
+	b.insert(position, entry)
 	return entry
 }
 
-// insert puts an entry at its place; in a full backlog the last gives way.
-func (b *Backlog) insert(place int, entry *Entry) {
-	b.entries = slices.Insert(b.entries, place, entry)
+// insert inserts an entry at a position; in a full backlog the last entry is dropped.
+func (b *Backlog) insert(position int, entry *Entry) {
+	b.entries = slices.Insert(b.entries, position, entry)
 	b.entries = b.entries[:min(len(b.entries), b.limit)]
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (b *Backlog) Len() int { return len(b.entries) }
 
-// First returns the request that gets the next place, or nil.
+// First returns the request that gets the next slot, or nil.
 func (b *Backlog) First() *Entry {
 	if len(b.entries) == 0 {
 		return nil
@@ -87,63 +88,62 @@
 	return b.entries[0]
 }
 
-// HasHigherPriority reports whether any request of a more urgent kind waits.
-func (b *Backlog) HasHigherPriority(rank int) bool {
-	return len(b.entries) > 0 && b.entries[0].rank < rank
+// HasHigherPriority reports whether a request of a more urgent priority rank is waiting.
+func (b *Backlog) HasHigherPriority(priorityRank int) bool {
+	return len(b.entries) > 0 && b.entries[0].priorityRank < priorityRank
 }
 
-// place returns how many requests go before an entry, or false if it does not wait any
-// more.
-func (b *Backlog) place(entry *Entry) (int, bool) {
-	return slices.BinarySearchFunc(b.entries, entry, precedes)
+// position returns how many requests precede an entry, and whether the entry is still waiting.
+func (b *Backlog) position(entry *Entry) (int, bool) {
+	return slices.BinarySearchFunc(b.entries, entry, compareEntries)
 }
 
-// ShouldReject reports whether an entry is not expected to get a place in time, has waited for
-// longer than those did that got one, or has had to give way to others.
+// ShouldReject reports whether an entry is not expected to get a slot before its deadline, has
+// waited longer than admitted requests usually do, or was dropped from a full backlog.
 func (b *Backlog) ShouldReject(now time.Time, entry *Entry) bool {
-	place, waits := b.place(entry)
-	return !waits || now.Sub(entry.joined) > b.waits.Typical() || b.tooFarBack(now, place, entry.latest)
+	position, waiting := b.position(entry)
+	return !waiting || now.Sub(entry.enqueuedAt) > b.admittedWait.Typical() || b.missesDeadline(now, position, entry.deadline)
 }
 
-// tooFarBack reports whether those that go before take up the time until a moment.
-func (b *Backlog) tooFarBack(now time.Time, place int, latest time.Time) bool {
-	return now.Add(time.Duration(place) * b.interval.Mean()).After(latest)
+// missesDeadline reports whether the preceding requests are expected to take all the time until the
+// deadline.
+func (b *Backlog) missesDeadline(now time.Time, position int, deadline time.Time) bool {
+	return now.Add(time.Duration(position) * b.slotInterval.Mean()).After(deadline)
 }
 
-// ExpectedWait returns after what time a request that would come now, of the given kind, is
-// likely to get a place. Where none has come for longer than usual, it may take as long
-// again.
-func (b *Backlog) ExpectedWait(now time.Time, rank int) time.Duration {
+// ExpectedWait returns the expected wait of a new request of a priority rank. If no slot has become
+// available for longer than usual, it assumes the same time again.
+func (b *Backlog) ExpectedWait(now time.Time, priorityRank int) time.Duration {
 	if len(b.entries) == 0 {
 		return 0
 	}
-	before := 0
-	for before < len(b.entries) && b.entries[before].rank <= rank {
-		before++
+	preceding := 0
+	for preceding < len(b.entries) && b.entries[preceding].priorityRank <= priorityRank {
+		preceding++
 	}
-	return max(b.interval.Mean(), now.Sub(b.since)) + time.Duration(before)*b.interval.Mean()
+	return max(b.slotInterval.Mean(), now.Sub(b.lastAdmission)) + time.Duration(preceding)*b.slotInterval.Mean()
 }
 
-// Admit notes that an entry got a place at a moment, and removes it if it still waits.
+// Admit records that an entry got a slot at the given time, and removes it if it is still waiting.
 func (b *Backlog) Admit(at time.Time, entry *Entry) {
 	b.Remove(entry)
-	b.interval.Observe(max(0, at.Sub(b.since)))
-	b.waits.Observe(at.Sub(entry.joined))
-	b.since = at
+	b.slotInterval.Observe(max(0, at.Sub(b.lastAdmission)))
+	b.admittedWait.Observe(at.Sub(entry.enqueuedAt))
+	b.lastAdmission = at
 }
 
-// Requeue puts an entry that had left, to ask for a place, back where it was.
+// Requeue puts an entry that was removed to request a slot back at its position.
 func (b *Backlog) Requeue(entry *Entry) {
-	if place, waits := b.place(entry); !waits {
-		b.insert(place, entry)
+	if position, waiting := b.position(entry); !waiting {
+		b.insert(position, entry)
 	}
 }
 
-// Remove removes an entry that has got no place, and reports whether it still waited.
+// Remove removes an entry that got no slot, and reports whether it was still waiting.
 func (b *Backlog) Remove(entry *Entry) bool {
-	place, waits := b.place(entry)
-	if waits {
-		b.entries = slices.Delete(b.entries, place, place+1)
+	position, waiting := b.position(entry)
+	if waiting {
+		b.entries = slices.Delete(b.entries, position, position+1)
 	}
-	return waits
+	return waiting
 }
--- a/internal/backlog/backlog_test.go
+++ b/internal/backlog/backlog_test.go
@@ -19,132 +19,132 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func TestOrderIsByPriorityThenDeadline(t *testing.T) {
-	waiting := New(8)
-	late := waiting.Enqueue(at(0), 1, at(900))
-	early := waiting.Enqueue(at(0), 1, at(500))
-	urgent := waiting.Enqueue(at(0), 0, at(5000))
-	require.True(t, waiting.HasHigherPriority(1))
-	require.False(t, waiting.HasHigherPriority(0))
+	backlog := New(8)
+	late := backlog.Enqueue(at(0), 1, at(900))
+	early := backlog.Enqueue(at(0), 1, at(500))
+	urgent := backlog.Enqueue(at(0), 0, at(5000))
+	require.True(t, backlog.HasHigherPriority(1))
+	require.False(t, backlog.HasHigherPriority(0))
 	for _, wanted := range []*Entry{urgent, early, late} {
-		require.Same(t, wanted, waiting.First())
-		waiting.Admit(at(1), wanted)
+		require.Same(t, wanted, backlog.First())
+		backlog.Admit(at(1), wanted)
 	}
-	require.Zero(t, waiting.Len())
+	require.Zero(t, backlog.Len())
 }
 
 func TestEnqueueRejectsUnreachableDeadline(t *testing.T) {
-	waiting := New(8)
+	backlog := New(8)
 	for i := range 20 {
-		entry := waiting.Enqueue(at(100*i), 0, at(100*i+1000))
-		waiting.Admit(at(100*(i+1)), entry)
+		entry := backlog.Enqueue(at(100*i), 0, at(100*i+1000))
+		backlog.Admit(at(100*(i+1)), entry)
 	}
 	const now = 2000
-	require.NotNil(t, waiting.Enqueue(at(now), 0, at(now+400)))
-	require.NotNil(t, waiting.Enqueue(at(now), 0, at(now+410)))
-	require.Nil(t, waiting.Enqueue(at(now), 1, at(now+150)), "two go before it, and a place comes each 100 ms")
-	require.InDelta(t, 300, waiting.ExpectedWait(at(now), 1).Milliseconds(), 20)
-	require.InDelta(t, 1200, waiting.ExpectedWait(at(now+1000), 1).Milliseconds(), 20, "none has come for a second")
+	require.NotNil(t, backlog.Enqueue(at(now), 0, at(now+400)))
+	require.NotNil(t, backlog.Enqueue(at(now), 0, at(now+410)))
+	require.Nil(t, backlog.Enqueue(at(now), 1, at(now+150)), "two requests precede it, and a slot becomes available every 100 ms")
+	require.InDelta(t, 300, backlog.ExpectedWait(at(now), 1).Milliseconds(), 20)
+	require.InDelta(t, 1200, backlog.ExpectedWait(at(now+1000), 1).Milliseconds(), 20, "no slot has become available for a second")
 }
 
 func TestWaitIsBoundedByAdmittedWaits(t *testing.T) {
-	waiting := New(8)
-	unknown := waiting.Enqueue(at(0), 0, at(60000))
-	require.False(t, waiting.ShouldReject(at(399), unknown))
-	require.True(t, waiting.ShouldReject(at(401), unknown))
-	waiting.Remove(unknown)
+	backlog := New(8)
+	first := backlog.Enqueue(at(0), 0, at(60000))
+	require.False(t, backlog.ShouldReject(at(399), first))
+	require.True(t, backlog.ShouldReject(at(401), first))
+	backlog.Remove(first)
 	now := 1000
 	for range 60 {
-		entry := waiting.Enqueue(at(now), 0, at(now+60000))
+		entry := backlog.Enqueue(at(now), 0, at(now+60000))
 		now += 150
-		waiting.Admit(at(now), entry)
+		backlog.Admit(at(now), entry)
 	}
-	known := waiting.Enqueue(at(now), 0, at(now+60000))
-	require.False(t, waiting.ShouldReject(at(now+140), known))
-	require.True(t, waiting.ShouldReject(at(now+250), known))
+	second := backlog.Enqueue(at(now), 0, at(now+60000))
+	require.False(t, backlog.ShouldReject(at(now+140), second))
+	require.True(t, backlog.ShouldReject(at(now+250), second))
 }
 
 func TestFullBacklogEvictsLowestPriority(t *testing.T) {
-	waiting := New(2)
-	waiting.Enqueue(at(0), 1, at(900))
-	last := waiting.Enqueue(at(0), 1, at(950))
-	require.Nil(t, waiting.Enqueue(at(0), 1, at(990)))
-	require.NotNil(t, waiting.Enqueue(at(0), 0, at(990)))
-	require.True(t, waiting.ShouldReject(at(0), last), "it had to give way")
-	require.False(t, waiting.Remove(last))
-	require.Equal(t, 2, waiting.Len())
+	backlog := New(2)
+	backlog.Enqueue(at(0), 1, at(900))
+	last := backlog.Enqueue(at(0), 1, at(950))
+	require.Nil(t, backlog.Enqueue(at(0), 1, at(990)))
+	require.NotNil(t, backlog.Enqueue(at(0), 0, at(990)))
+	require.True(t, backlog.ShouldReject(at(0), last), "the entry was dropped")
+	require.False(t, backlog.Remove(last))
+	require.Equal(t, 2, backlog.Len())
 }
 
-// oracleEntry is an entry as the slow oracle keeps it.
-type oracleEntry struct {
-	entry  *Entry
-	rank   int
-	latest time.Time
-	serial int
+// referenceEntry is an entry of the reference implementation.
+type referenceEntry struct {
+	entry        *Entry
+	priorityRank int
+	deadline     time.Time
+	sequence     int
 }
 
-// TestBacklogAgreesWithReference plays requests that come, get places, leave and give
-// way, against a list that is sorted anew each time.
+// TestBacklogAgreesWithReference compares random operations with a list that is sorted after each
+// insertion.
 func TestBacklogAgreesWithReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 5
-		waiting, now, serial := New(limit), 0, 0
-		var oracle []oracleEntry
-		sorted := func() {
-			slices.SortFunc(oracle, func(a, b oracleEntry) int {
-				if a.rank != b.rank {
-					return a.rank - b.rank
+		backlog, now, sequence := New(limit), 0, 0
+		var reference []referenceEntry
+		sortReference := func() {
+			slices.SortFunc(reference, func(a, b referenceEntry) int {
+				if a.priorityRank != b.priorityRank {
+					return a.priorityRank - b.priorityRank
 				}
-				if !a.latest.Equal(b.latest) {
-					return a.latest.Compare(b.latest)
+				if !a.deadline.Equal(b.deadline) {
+					return a.deadline.Compare(b.deadline)
 				}
-				return a.serial - b.serial
+				return a.sequence - b.sequence
 			})
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"join": func(t *rapid.T) {
-				rank := rapid.IntRange(0, 2).Draw(t, "rank")
-				latest := at(now + rapid.IntRange(0, 3000).Draw(t, "time left"))
-				entry := waiting.Enqueue(at(now), rank, latest)
+				priorityRank := rapid.IntRange(0, 2).Draw(t, "rank")
+				deadline := at(now + rapid.IntRange(0, 3000).Draw(t, "remaining time"))
+				entry := backlog.Enqueue(at(now), priorityRank, deadline)
 				if entry == nil {
 					return
 				}
-				serial++
-				oracle = append(oracle, oracleEntry{entry: entry, rank: rank, latest: latest, serial: serial})
-				sorted()
-				oracle = oracle[:min(limit, len(oracle))]
+				sequence++
+				reference = append(reference, referenceEntry{entry: entry, priorityRank: priorityRank, deadline: deadline, sequence: sequence})
+				sortReference()
+				reference = reference[:min(limit, len(reference))]
 			},
 			"admit": func(t *rapid.T) {
-				first := waiting.First()
-				if len(oracle) == 0 {
+				first := backlog.First()
+				if len(reference) == 0 {
 					require.Nil(t, first)
 					return
 				}
-				require.Same(t, oracle[0].entry, first)
-				waiting.Admit(at(now), first)
-				oracle = oracle[1:]
+				require.Same(t, reference[0].entry, first)
+				backlog.Admit(at(now), first)
+				reference = reference[1:]
 			},
 			"leave": func(t *rapid.T) {
-				if len(oracle) == 0 {
+				if len(reference) == 0 {
 					return
 				}
-				i := rapid.IntRange(0, len(oracle)-1).Draw(t, "which")
-				require.True(t, waiting.Remove(oracle[i].entry))
-				oracle = slices.Delete(oracle, i, i+1)
+				i := rapid.IntRange(0, len(reference)-1).Draw(t, "which")
+				require.True(t, backlog.Remove(reference[i].entry))
+				reference = slices.Delete(reference, i, i+1)
 			},
-			"ask in vain": func(t *rapid.T) {
-				if first := waiting.First(); first != nil {
-					require.True(t, waiting.Remove(first))
-					waiting.Requeue(first)
-					waiting.Requeue(first)
-					require.Same(t, oracle[0].entry, waiting.First())
+			"fail to get a slot": func(t *rapid.T) {
+				if first := backlog.First(); first != nil {
+					require.True(t, backlog.Remove(first))
+					backlog.Requeue(first)
+					backlog.Requeue(first)
+					require.Same(t, reference[0].entry, backlog.First())
 				}
 			},
 			"wait": func(t *rapid.T) { now += rapid.IntRange(1, 200).Draw(t, "ms") },
 			"": func(t *rapid.T) {
-				require.Equal(t, len(oracle), waiting.Len())
-				for i, each := range oracle {
-					if each.latest.Before(at(now)) {
-						require.True(t, waiting.ShouldReject(at(now), each.entry), fmt.Sprintf("entry %d is past its time", i))
+				require.Equal(t, len(reference), backlog.Len())
+				for i, each := range reference {
+					if each.deadline.Before(at(now)) {
+						require.True(t, backlog.ShouldReject(at(now), each.entry), fmt.Sprintf("entry %d is past its deadline", i))
 					}
 				}
 			},
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,11 +1,12 @@
-// Package balance chooses the worker of an attempt out of what one gateway
-// knows: the workers listed, its own requests under way and how its last ones
-// ended. No gateway asks another: requests of a program prefer the worker that
-// its hash ranks first, which is the same at every gateway, or at every gateway of
-// a zone where there are so many workers that each gateway would have requests for
-// one of them only now and then. Where workers lie in several regions it is the same
-// at every gateway of a region; other regions take the share of requests that the own
-// one has no room for.
+// Package balance chooses the worker for an attempt from what one gateway knows: the available
+// workers, its own requests in flight and the results of its recent attempts. Gateways do not
+// coordinate.
+//
+// Requests with the same affinity prefer the worker that the hash of the affinity ranks first. It
+// is the same worker at every gateway. With so many workers that a gateway would rarely send two
+// successive requests to the same one, it is only the same at the gateways of a zone. With workers
+// in several regions, it is the same at every gateway of a region, and other regions serve the
+// requests for which the local region has no capacity.
 package balance
 
 import (
@@ -16,212 +17,213 @@
 )
 
 const (
-	// failureWeight is how much the last attempt counts in a worker's share of
-	// failures; from ejectShare on the worker is ejected: after two failures in a
-	// row, or when about half of the attempts fail.
-	failureWeight = 0.3
-	ejectShare    = 0.5
-	// returnShare is the share of failures that a worker comes back with: one
-	// more failure ejects it again.
-	returnShare = 0.35
-	// goodShare is the share below which a worker's ejections are forgotten.
-	goodShare  = 0.05
-	firstEject = 800 * time.Millisecond
-	lastEject  = 5 * time.Second
-	// maxEjected is the share of a service's workers that may be ejected; beyond
-	// it all take work, whatever their record: then it is load, not the workers.
-	maxEjected = 0.5
-	// affinitySlack is how many more requests than the least loaded worker the
-	// preferred worker may have under way here.
+	// failureWeight is the weight of the last attempt in the moving average of a worker's failures.
+	// A worker is ejected when the average reaches ejectFailureRate: after two consecutive
+	// failures, or when about half of the attempts fail.
+	failureWeight    = 0.3
+	ejectFailureRate = 0.5
+	// readmitFailureRate is the failure rate of a worker after its ejection; one more failure
+	// ejects it again.
+	readmitFailureRate = 0.35
+	// healthyFailureRate is the failure rate below which a worker's past ejections are reset.
+	healthyFailureRate = 0.05
+	initialEjection    = 800 * time.Millisecond
+	maxEjection        = 5 * time.Second
+	// maxEjectedShare is the maximum share of a service's workers that may be ejected. If more are,
+	// the cause is load rather than the workers, and all of them are used.
+	maxEjectedShare = 0.5
+	// affinitySlack is how many more requests in flight than the least loaded worker the worker
+	// preferred by affinity may have.
 	affinitySlack = 2
 )
 
-// Request is what the choice depends on.
+// Request describes the request that a worker is chosen for.
 type Request struct {
-	// Affinity is shared by requests that profit from the same worker; "" has
-	// no preference.
+	// Affinity is equal for requests that benefit from using the same worker. "" means no
+	// preference.
 	Affinity string
-	// Service is what the workers belong to.
+	// Service is the service of the workers.
 	Service string
-	// Tried are workers that this request is not to go to again.
+	// Tried contains the workers that must not be chosen because they were tried before.
 	Tried map[string]bool
-	// Filtered is set where workers are left out of the list for reasons of this request
-	// alone, so that the list says nothing of what a region has left.
+	// Filtered is set if workers were removed from the list for reasons specific to this request.
+	// The list then does not show the remaining capacity of a region.
 	Filtered bool
-	// PriorityRank ranks the request among others of its service, 0 first. Where the own region
-	// has no room for all, the least urgent leave it first.
+	// PriorityRank orders the requests of a service; 0 is the most urgent. When the local region
+	// has not enough capacity, the requests with the highest ranks leave it first.
 	PriorityRank int
-	// Remaining is how much time the request has; 0 is unknown.
+	// Remaining is the time until the deadline of the request, or 0 if it is unknown.
 	Remaining time.Duration
-	// TypicalLatency is how long workers of the service usually take to begin an answer; 0 is
-	// unknown.
+	// TypicalLatency is how long workers of the service usually take to begin a response, or 0 if
+	// it is unknown.
 	TypicalLatency time.Duration
-	// HasIdleConnection reports whether an idle connection to a worker's address is open; nil
-	// reports none.
+	// HasIdleConnection reports whether an idle connection to a worker's address is open. nil means
+	// that there are none.
 	HasIdleConnection func(address string) bool
 }
 
-// Balancer keeps the record of each worker. It is safe for concurrent use.
+// Balancer tracks the workers and chooses among them. It is safe for concurrent use.
 type Balancer struct {
 	now func() time.Time
-	// zone is this process's own; empty prefers no worker for its zone.
+	// zone is the zone of this process. If it is empty, no worker is preferred for its zone.
 	zone string
-	// places and times tell which region a worker is in and how far that is; where all are
-	// in one, nothing depends on them.
+	// places and times provide the region of a worker and the latency to it. They have no effect if
+	// all workers are in one region.
 	places distance.Topology
 	times  *distance.ZoneLatencies
-	rule   spillRule
-
-	mutex  sync.Mutex
-	record map[string]*record
-	rates  map[string]*requestRate
-	// spills are the shares of each service's requests that leave the own region.
-	spills map[string]*spill
-	// zones are those that workers were listed in; used by one choice at a time.
-	zones map[string]*zoneField
-	// observed is what was seen of workers and not told to others yet.
-	observed map[string]*Observation
-	turn     uint64
-
-	// field, narrowed and paces are used by one choice at a time.
-	field, narrowed []candidate
-	paces           []float64
+	policy spilloverPolicy
+
+	mutex sync.Mutex
+	stats map[string]*workerStats
+	rates map[string]*requestRate
+	// spillovers are the shares of requests that leave the local region, by service.
+	spillovers map[string]*spillover
+	// zones is the state of all zones of workers during the current call of Choose.
+	zones map[string]*zoneState
+	// observations are the results per worker that have not been reported yet.
+	observations map[string]*Observation
+	choices      uint64
+
+	// The buffers are reused by each call of Choose to avoid allocations.
+	candidateBuffer, localBuffer []candidate
+	latencyBuffer                []float64
 }
 
-type record struct {
+type workerStats struct {
 	inFlight int
-	// failing is the share of failures of the last attempts, the newest first.
-	failing float64
-	ejects  int
-	// ejectedUntil is zero for workers in good standing.
+	// failureRate is the moving average of failed attempts.
+	failureRate float64
+	ejections   int
+	// ejectedUntil is the end of the current or last ejection. It is zero if the worker was never
+	// ejected.
 	ejectedUntil time.Time
-	// suspectUntil ends the time for which others have found the worker slow or
-	// failing.
+	// suspectUntil is the end of the time for which the worker is avoided because the gateways of a
+	// zone together found it slow or failing.
 	suspectUntil time.Time
-	pace         pace
-	// service and region are those of the last request that was sent there.
+	latency      latencyAverage
+	// service and region belong to the last request that was sent to the worker.
 	service, region string
 }
 
-// New returns a balancer of a process in a zone, for workers that are all in one region.
+// New returns a balancer for workers in a single region.
 func New(now func() time.Time, zone string) *Balancer {
 	return NewMultiRegion(now, zone, distance.NewZoneLatencies(distance.NewTopology(zone, nil)), distance.Topology{})
 }
 
-// NewMultiRegion returns a balancer for workers in several regions. times measures the ways to
-// workers; the workers of zone come first where there are many.
+// NewMultiRegion returns a balancer for workers in several regions. times measures the latency to
+// other zones. Workers of zone are preferred when there are many workers.
 func NewMultiRegion(now func() time.Time, zone string, times *distance.ZoneLatencies, places distance.Topology) *Balancer {
 	return &Balancer{
-		now: now, zone: zone, places: places, times: times, rule: byCost{},
-		record: make(map[string]*record), rates: make(map[string]*requestRate), spills: make(map[string]*spill), zones: make(map[string]*zoneField),
-		observed: make(map[string]*Observation),
+		now: now, zone: zone, places: places, times: times, policy: costPolicy{},
+		stats: make(map[string]*workerStats), rates: make(map[string]*requestRate), spillovers: make(map[string]*spillover), zones: make(map[string]*zoneState),
+		observations: make(map[string]*Observation),
 	}
 }
 
-func (b *Balancer) of(worker string) *record {
-	known := b.record[worker]
-	if known == nil {
-		known = &record{}
-		b.record[worker] = known
+func (b *Balancer) statsOf(worker string) *workerStats {
+	stats := b.stats[worker]
+	if stats == nil {
+		stats = &workerStats{}
+		b.stats[worker] = stats
 	}
-	return known
+	return stats
 }
 
-// Begin counts a request as under way at a worker that was not chosen by
-// Choose. Done must be called for it.
+// Begin counts a request in flight at a worker that was not chosen by Choose. Done must be called
+// for it.
 func (b *Balancer) Begin(worker string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.of(worker).inFlight++
+	b.statsOf(worker).inFlight++
 }
 
-// InFlight returns how many requests of this process a worker has.
+// InFlight returns the number of requests of this process that a worker is processing.
 func (b *Balancer) InFlight(worker string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if known := b.record[worker]; known != nil {
-		return known.inFlight
+	if stats := b.stats[worker]; stats != nil {
+		return stats.inFlight
 	}
 	return 0
 }
 
-// AttemptResult is how an attempt at a worker ended.
+// AttemptResult is the result of an attempt to send a request to a worker.
 type AttemptResult int
 
-// The verdicts.
+// The results.
 const (
-	// Served attempts got an answer of the worker's own.
+	// Served attempts got a response from the worker that reports no failure of the worker itself.
 	Served AttemptResult = iota
-	// Turned away attempts met a worker that is full.
+	// Rejected attempts were rejected because the worker is at its limit.
 	Rejected
-	// Failed attempts got no answer, or a broken one.
+	// Failed attempts got no response or an incomplete one.
 	Failed
-	// Unreachable attempts never reached the worker.
+	// Unreachable attempts could not connect to the worker.
 	Unreachable
-	// WorkerError attempts got an answer that tells of a failure of the worker's own.
+	// WorkerError attempts got a response that reports a failure of the worker itself.
 	WorkerError
-	// Canceled attempts were cancelled from here.
+	// Canceled attempts were canceled by this process.
 	Canceled
 )
 
-var verdictNames = [...]string{"served", "turned_away", "failed", "unreachable", "erring", "abandoned"}
+var attemptResultNames = [...]string{"served", "turned_away", "failed", "unreachable", "erring", "abandoned"}
 
-// String returns the verdict's name in logs and metrics.
-func (v AttemptResult) String() string { return verdictNames[v] }
+// String returns the name of the result in logs and metrics.
+func (r AttemptResult) String() string { return attemptResultNames[r] }
 
-// Done ends an attempt that Choose began, and reports whether the worker was
-// ejected by it.
-func (b *Balancer) Done(worker string, verdict AttemptResult) bool {
+// Done ends an attempt that was started by Choose or Begin, and reports whether it caused the
+// ejection of the worker.
+func (b *Balancer) Done(worker string, result AttemptResult) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.of(worker)
-	known.inFlight--
-	b.observe(worker, verdict)
-	b.observeRegion(known, verdict)
-	switch verdict {
+	stats := b.statsOf(worker)
+	stats.inFlight--
+	b.recordResult(worker, result)
+	b.recordRegionResult(stats, result)
+	switch result {
 	case Served, Rejected:
-		known.failing *= 1 - failureWeight
-		if known.failing < goodShare {
-			known.ejects = 0
+		stats.failureRate *= 1 - failureWeight
+		if stats.failureRate < healthyFailureRate {
+			stats.ejections = 0
 		}
 	case Failed, WorkerError:
-		return b.failed(known)
+		return b.recordFailure(stats)
 	case Unreachable:
-		known.failing = max(known.failing, returnShare)
-		return b.failed(known)
+		stats.failureRate = max(stats.failureRate, readmitFailureRate)
+		return b.recordFailure(stats)
 	case Canceled:
 	}
 	return false
 }
 
-// RecordLateStart notes that an attempt has waited for longer than it should, and reports
-// whether the worker was ejected by it. The attempt goes on.
+// RecordLateStart counts a failure for an attempt whose response is late, and reports whether that
+// ejected the worker. The attempt continues.
 func (b *Balancer) RecordLateStart(worker string) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.failed(b.of(worker))
+	return b.recordFailure(b.statsOf(worker))
 }
 
-// failed counts a failure and ejects a worker that has too many.
-func (b *Balancer) failed(known *record) bool {
-	known.failing += failureWeight * (1 - known.failing)
-	if known.failing < ejectShare || b.now().Before(known.ejectedUntil) {
+// recordFailure counts a failure and ejects the worker if its failure rate is too high. The mutex
+// must be held.
+func (b *Balancer) recordFailure(stats *workerStats) bool {
+	stats.failureRate += failureWeight * (1 - stats.failureRate)
+	if stats.failureRate < ejectFailureRate || b.now().Before(stats.ejectedUntil) {
 		return false
 	}
-	known.ejectedUntil = b.now().Add(min(lastEject, firstEject<<min(known.ejects, 8)))
-	known.ejects++
-	known.failing = returnShare
+	stats.ejectedUntil = b.now().Add(min(maxEjection, initialEjection<<min(stats.ejections, 8)))
+	stats.ejections++
+	stats.failureRate = readmitFailureRate
 	return true
 }
 
-// Prune drops the records of workers that are not listed and have nothing
-// under way.
+// Prune removes the workers that are not listed and have no requests in flight.
 func (b *Balancer) Prune(listed func(worker string) bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for id, known := range b.record {
-		if known.inFlight == 0 && !listed(id) {
-			delete(b.record, id)
+	for id, stats := range b.stats {
+		if stats.inFlight == 0 && !listed(id) {
+			delete(b.stats, id)
 		}
 	}
 }
--- a/internal/balance/choose.go
+++ b/internal/balance/choose.go
@@ -10,225 +10,227 @@
 	"github.com/barleyshelf/barleyshelf/internal/distance"
 )
 
-// Decision is the worker of a request and why it is that one.
+// Decision is the worker chosen for a request and why its region was chosen.
 type Decision struct {
 	directory.Worker
-	// Distance is how far the worker is.
+	// Distance is the distance class of the worker.
 	Distance distance.Class
-	// RegionReason is what the request is a part of.
+	// RegionReason is why the request goes to the region of the worker.
 	RegionReason RegionReason
 }
 
-// RegionReason names what a choice answers.
+// RegionReason is why a request goes to the local or to another region.
 type RegionReason string
 
-// The loads.
+// The reasons.
 const (
-	// LocalRegion stays in the own region.
+	// LocalRegion is for requests that stay in the local region.
 	LocalRegion RegionReason = "home"
-	// Spillover is the share of the requests that the own region has no room for.
+	// Spillover is for requests that exceed the capacity of the local region.
 	Spillover RegionReason = "spilled"
-	// LocalRejected was turned away by workers of the own region.
+	// LocalRejected is for requests that workers of the local region have rejected.
 	LocalRejected RegionReason = "turned_away"
-	// NoLocalWorker has no worker in the own region.
+	// NoLocalWorker is for requests without a candidate in the local region.
 	NoLocalWorker RegionReason = "homeless"
 )
 
-// choice is one request's choice out of a list.
+// choice is the state of one call of Choose.
 type choice struct {
 	now     time.Time
 	workers []*directory.WorkerRecord
 	request Request
-	// homeListed and homeTried count the workers of the own region that are listed, and those
-	// of them that the request is not to go to again.
-	homeListed, homeTried int
+	// localListed and localTried count the workers of the local region in the list, and those of
+	// them that the request has tried.
+	localListed, localTried int
 }
 
-// at returns the worker of a candidate.
-func (c *choice) at(each *candidate) *directory.WorkerRecord { return c.workers[each.index] }
+// workerOf returns the worker of a candidate.
+func (c *choice) workerOf(candidate *candidate) *directory.WorkerRecord {
+	return c.workers[candidate.index]
+}
 
-// candidate is a worker of a choice's list.
+// candidate is a worker in the list of a choice.
 type candidate struct {
 	index, load int
-	// pace is 0 where it is not known.
-	pace     float64
-	standing standing
-	// zone is nil where all workers are in one region.
-	zone *zoneField
+	// latencyRatio is 0 if it is unknown.
+	latencyRatio float64
+	state        candidateState
+	// zone is nil if all workers are in one region.
+	zone *zoneState
 }
 
-// standing is whether a worker may be chosen.
-type standing uint8
+// candidateState says whether a worker can be chosen.
+type candidateState uint8
 
 const (
-	// usable workers are in good standing.
-	usable standing = iota
-	// lapsed workers are used where there is no usable one.
-	lapsed
-	// ejected workers are used where they are most of those that are not lapsed.
-	ejected
-	// tried workers are not used.
-	tried
-
-	standings
+	// stateUsable workers are neither lapsed, ejected nor tried.
+	stateUsable candidateState = iota
+	// stateLapsed workers are used if there is no usable one.
+	stateLapsed
+	// stateEjected workers are used if they are most of the workers that have not lapsed.
+	stateEjected
+	// stateTried workers are never used.
+	stateTried
+
+	candidateStates
 )
 
-// unseen is the record of workers that no request was sent to.
-var unseen record
+// emptyStats are the statistics of workers that no request was sent to.
+var emptyStats workerStats
 
-// Choose returns a worker and counts the request as under way there, or false
-// if there is none. Done must be called for it.
+// Choose returns a worker and counts the request as in flight there, or returns false if no worker
+// can be chosen. Done must be called for it.
 func (b *Balancer) Choose(workers []*directory.WorkerRecord, request Request) (Decision, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.turn++
+	b.choices++
 	choice := choice{now: b.now(), workers: workers, request: request}
-	b.rateOf(request.Service).count(choice.now)
-	candidates := b.candidates(&choice)
+	b.rateOf(request.Service).observe(choice.now)
+	candidates := b.eligibleCandidates(&choice)
 	if len(candidates) == 0 {
 		return Decision{}, false
 	}
-	candidates, load := b.byRegion(&choice, candidates)
-	if !b.sharedByRegion(&choice, candidates) {
-		if near := b.nearFirst(&choice, candidates); len(near) > 0 {
-			candidates = near
+	candidates, load := b.filterByRegion(&choice, candidates)
+	if !b.hasRegionAffinity(&choice, candidates) {
+		if local := b.preferLocalZone(&choice, candidates); len(local) > 0 {
+			candidates = local
 		}
 	}
-	best := b.pick(&choice, candidates)
-	chosen := choice.at(&best).Worker
-	known := b.of(chosen.ID)
-	known.inFlight++
-	known.service, known.region = request.Service, b.places.Region(chosen.Zone)
+	best := b.pickByRank(&choice, candidates)
+	chosen := choice.workerOf(&best).Worker
+	stats := b.statsOf(chosen.ID)
+	stats.inFlight++
+	stats.service, stats.region = request.Service, b.places.Region(chosen.Zone)
 	return Decision{Worker: chosen, Distance: b.places.Class(chosen.Zone), RegionReason: load}, true
 }
 
-// candidates returns the workers that may be chosen. Ejected and slow workers are left out,
-// unless they are more than maxEjected of the service. The mutex is held.
-func (b *Balancer) candidates(choice *choice) []candidate {
-	b.survey(choice)
-	typical := typicalPace(b.paces)
-	var counts [standings]int
-	for i := range b.field {
-		each := &b.field[i]
-		if each.standing == usable && typical > 0 && each.pace > slowFactor*typical {
-			each.standing = ejected
+// eligibleCandidates returns the workers that can be chosen. Ejected and slow workers are excluded
+// unless they exceed maxEjectedShare of the service. The mutex must be held.
+func (b *Balancer) eligibleCandidates(choice *choice) []candidate {
+	b.collectCandidates(choice)
+	median := medianLatency(b.latencyBuffer)
+	var counts [candidateStates]int
+	for i := range b.candidateBuffer {
+		each := &b.candidateBuffer[i]
+		if each.state == stateUsable && median > 0 && each.latencyRatio > slowFactor*median {
+			each.state = stateEjected
 		}
-		counts[each.standing]++
+		counts[each.state]++
 	}
-	var used [standings]bool
+	var include [candidateStates]bool
 	switch {
-	case float64(counts[ejected]) > maxEjected*float64(counts[usable]+counts[ejected]):
-		used[usable], used[ejected] = true, true
-	case counts[usable] > 0:
-		used[usable] = true
+	case float64(counts[stateEjected]) > maxEjectedShare*float64(counts[stateUsable]+counts[stateEjected]):
+		include[stateUsable], include[stateEjected] = true, true
+	case counts[stateUsable] > 0:
+		include[stateUsable] = true
 	default:
-		used[lapsed] = true
+		include[stateLapsed] = true
 	}
-	kept := b.field[:0]
-	for _, each := range b.field {
-		if used[each.standing] {
+	kept := b.candidateBuffer[:0]
+	for _, each := range b.candidateBuffer {
+		if include[each.state] {
 			kept = append(kept, each)
 		}
 	}
 	return kept
 }
 
-// survey fills field with all listed workers, and paces with their known paces. The mutex
-// is held.
-func (b *Balancer) survey(choice *choice) {
-	b.field, b.paces = b.field[:0], b.paces[:0]
-	several := b.places.MultiRegion()
+// collectCandidates fills candidateBuffer with all workers and latencyBuffer with their known
+// latency ratios. The mutex must be held.
+func (b *Balancer) collectCandidates(choice *choice) {
+	b.candidateBuffer, b.latencyBuffer = b.candidateBuffer[:0], b.latencyBuffer[:0]
+	multiRegion := b.places.MultiRegion()
 	for i := range choice.workers {
 		worker := choice.workers[i]
-		known := b.record[worker.ID]
-		if known == nil {
-			known = &unseen
+		stats := b.stats[worker.ID]
+		if stats == nil {
+			stats = &emptyStats
 		}
-		each := candidate{index: i, load: known.inFlight}
-		if known.pace.known(choice.now) {
-			each.pace = known.pace.value
-			b.paces = append(b.paces, each.pace)
+		each := candidate{index: i, load: stats.inFlight}
+		if stats.latency.valid(choice.now) {
+			each.latencyRatio = stats.latency.ratio
+			b.latencyBuffer = append(b.latencyBuffer, each.latencyRatio)
 		}
 		switch {
 		case choice.request.Tried[worker.ID]:
-			each.standing = tried
+			each.state = stateTried
 		case worker.Lapsed:
-			each.standing = lapsed
-		case choice.now.Before(known.ejectedUntil), choice.now.Before(known.suspectUntil):
-			each.standing = ejected
+			each.state = stateLapsed
+		case choice.now.Before(stats.ejectedUntil), choice.now.Before(stats.suspectUntil):
+			each.state = stateEjected
 		}
-		if several {
-			each.zone = b.zoneField(worker.Zone)
-			choice.countHome(each)
+		if multiRegion {
+			each.zone = b.zoneStateOf(worker.Zone)
+			choice.countLocal(each)
 		}
-		b.field = append(b.field, each)
+		b.candidateBuffer = append(b.candidateBuffer, each)
 	}
 }
 
-// countHome counts a listed worker if it is in the own region.
-func (c *choice) countHome(each candidate) {
+// countLocal counts a worker if it is in the local region.
+func (c *choice) countLocal(each candidate) {
 	if each.zone.class == distance.OtherRegion {
 		return
 	}
-	c.homeListed++
-	if each.standing == tried {
-		c.homeTried++
+	c.localListed++
+	if each.state == stateTried {
+		c.localTried++
 	}
 }
 
-// pick returns the first candidate by rank that has not clearly more under way
-// than the least loaded one. The mutex is held.
-func (b *Balancer) pick(choice *choice, candidates []candidate) candidate {
+// pickByRank returns the candidate with the lowest rank among those whose load exceeds the lowest
+// load by no more than the allowed slack. The mutex must be held.
+func (b *Balancer) pickByRank(choice *choice, candidates []candidate) candidate {
 	slack := 0
 	if choice.request.Affinity != "" {
 		slack = affinitySlack
 	}
-	most := leastLoad(candidates) + slack
-	ranks := b.ranks(choice.request.Affinity)
+	maxLoad := minLoad(candidates) + slack
+	ranking := b.rankingFor(choice.request.Affinity)
 	var best candidate
-	first := uint64(math.MaxUint64)
+	lowest := uint64(math.MaxUint64)
 	for _, each := range candidates {
-		if each.load > most {
+		if each.load > maxLoad {
 			continue
 		}
-		if rank := ranks.of(choice.at(&each).ID); rank <= first {
-			best, first = each, rank
+		if rank := ranking.rank(choice.workerOf(&each).ID); rank <= lowest {
+			best, lowest = each, rank
 		}
 	}
 	return best
 }
 
-func leastLoad(candidates []candidate) int {
-	least := math.MaxInt
+func minLoad(candidates []candidate) int {
+	lowest := math.MaxInt
 	for i := range candidates {
-		least = min(least, candidates[i].load)
+		lowest = min(lowest, candidates[i].load)
 	}
-	return least
+	return lowest
 }
 
-// ranking ranks workers for the requests that share it.
+// ranking orders workers by a hash that depends on the affinity.
 type ranking struct{ prefix xxhash.Digest }
 
-// ranks returns the ranking of an affinity; without one it differs with each choice. The
-// mutex is held.
-func (b *Balancer) ranks(affinity string) ranking {
-	var made ranking
-	made.prefix.Reset()
+// rankingFor returns the ranking for an affinity. Without an affinity, each choice has a different
+// ranking. The mutex must be held.
+func (b *Balancer) rankingFor(affinity string) ranking {
+	var result ranking
+	result.prefix.Reset()
 	if affinity == "" {
-		var turn [8]byte
-		for i := range turn {
-			turn[i] = byte(b.turn >> (8 * i))
+		var sequence [8]byte
+		for i := range sequence {
+			sequence[i] = byte(b.choices >> (8 * i))
 		}
-		made.prefix.Write(turn[:])
+		result.prefix.Write(sequence[:])
 	} else {
-		made.prefix.WriteString(affinity)
+		result.prefix.WriteString(affinity)
 	}
-	made.prefix.WriteString("/")
-	return made
+	result.prefix.WriteString("/")
+	return result
 }
 
-// of returns the rank of a worker; the least is the first.
-func (r *ranking) of(worker string) uint64 {
+// rank returns the rank of a worker; the lowest rank is preferred.
+func (r *ranking) rank(worker string) uint64 {
 	digest := r.prefix
 	digest.WriteString(worker)
 	return digest.Sum64()
--- a/internal/balance/model_test.go
+++ b/internal/balance/model_test.go
@@ -15,99 +15,99 @@
 	"github.com/barleyshelf/barleyshelf/internal/distance"
 )
 
-// The model: gateways and workers in three regions of two zones. A program's turns come one
-// after another through any gateway of its region, save those that come through another
-// region's. A worker runs so many requests at once and turns others away; it reads a
-// program's prompt anew unless it had the program's last turn.
+// The model simulates gateways and workers in three regions of two zones each. The turns of a
+// program follow one another through random gateways of its region, except for turns that arrive
+// through another region. A worker processes a limited number of requests at a time and rejects
+// others. It processes a program's prompt again unless it served the program's previous turn.
 const (
-	modelWorkers  = 8 // in each region
-	modelSlots    = 6
-	modelGateways = 6 // in each region
-	modelTurns    = 6
-	modelThink    = 300 * time.Millisecond
-	modelWork     = 150 * time.Millisecond
-	modelReading  = 60 * time.Millisecond
-	modelWay      = 20 * time.Millisecond // one way to another region
-	modelNearWay  = time.Millisecond
-	modelDeadline = 4 * time.Second
-	modelFull     = 30 * time.Millisecond // until a request that no worker took tries again
-	modelTries    = 6
-	modelTime     = 42 * time.Second
-	// Trouble begins and ends.
-	modelFrom, modelTo = 8 * time.Second, 22 * time.Second
+	modelWorkers       = 8 // in each region
+	modelSlots         = 6
+	modelGateways      = 6 // in each region
+	modelTurns         = 6
+	modelTurnDelay     = 300 * time.Millisecond
+	modelLatency       = 150 * time.Millisecond
+	modelPromptLatency = 60 * time.Millisecond
+	modelRegionDelay   = 20 * time.Millisecond // one-way delay to another region
+	modelLocalDelay    = time.Millisecond
+	modelDeadline      = 4 * time.Second
+	modelRetryDelay    = 30 * time.Millisecond // delay after all tries of a request were rejected
+	modelMaxTries      = 6
+	modelDuration      = 42 * time.Second
+	// disturbanceStart and disturbanceEnd are relative to the start of the run.
+	disturbanceStart, disturbanceEnd = 8 * time.Second, 22 * time.Second
 )
 
 var modelRegions = map[string]string{"a1": "a", "a2": "a", "b1": "b", "b2": "b", "c1": "c", "c2": "c"}
 
-// modelWays is one way to choose.
-type modelWays struct {
-	name string
-	rule spillRule
-	// flat takes all zones for zones of one region.
-	flat bool
+// modelStrategy is a way to choose workers.
+type modelStrategy struct {
+	name   string
+	policy spilloverPolicy
+	// ignoreRegions treats all zones as zones of one region.
+	ignoreRegions bool
 }
 
-var ways = []modelWays{
-	{name: "one region", flat: true}, {name: "classes", rule: byClass{}}, {name: "cost", rule: byCost{}},
+var strategies = []modelStrategy{
+	{name: "one region", ignoreRegions: true}, {name: "threshold", policy: thresholdPolicy{}}, {name: "cost", policy: costPolicy{}},
 }
 
-// byClass is another way to decide the share: requests leave while workers of the own region
-// turn them away, whatever elsewhere costs, and come back slowly; between two shares turned
-// away nothing changes.
-type byClass struct{}
+// thresholdPolicy is an alternative to costPolicy. It raises the share while workers of the local
+// region reject requests, whatever the cost in other regions, and lowers it slowly. Between two
+// thresholds the share does not change.
+type thresholdPolicy struct{}
 
-func (byClass) next(share float64, elapsed time.Duration, seen sight) float64 {
-	const enterRefused, leaveRefused = 0.3, 0.1
-	step := min(elapsed, longestStep).Seconds()
+func (thresholdPolicy) nextShare(share float64, elapsed time.Duration, state regionState) float64 {
+	const enterRejectedShare, leaveRejectedShare = 0.3, 0.1
+	step := min(elapsed, maxStep).Seconds()
 	switch {
-	case seen.refused > enterRefused && seen.refused > seen.elsewhere:
-		share += step * riseRate * (seen.refused - leaveRefused)
-	case seen.refused < leaveRefused, seen.elsewhere > seen.refused:
-		share -= step * fallRate
+	case state.localRejectedShare > enterRejectedShare && state.localRejectedShare > state.remoteRejectedShare:
+		share += step * maxRiseRate * (state.localRejectedShare - leaveRejectedShare)
+	case state.localRejectedShare < leaveRejectedShare, state.remoteRejectedShare > state.localRejectedShare:
+		share -= step * maxFallRate
 	}
-	return max(ill(seen.usable), min(1, max(0, share)))
+	return max(unavailableShare(state.usableShare), min(1, max(0, share)))
 }
 
-// trouble is what happens to region a between modelFrom and modelTo.
-type trouble struct {
+// disturbance describes what happens to region a between disturbanceStart and disturbanceEnd.
+type disturbance struct {
 	name string
-	// rate is the programs that begin in region a a second then; those of the other regions
-	// and times are 15.
+	// rate is the number of programs that start in region a per second during the disturbance. It
+	// is 15 in other regions and at other times.
 	rate float64
-	// listed is how many of its workers are listed then.
-	listed int
-	// moved is the share of turns that come in through another region, at any time.
-	moved float64
+	// registered is the number of region a's workers that are registered during the disturbance.
+	registered int
+	// movedShare is the share of turns that arrive through another region, at any time.
+	movedShare float64
 }
 
-var troubles = []trouble{
-	{name: "calm", rate: 15, listed: modelWorkers},
-	{name: "turns move", rate: 15, listed: modelWorkers, moved: 0.1},
-	{name: "burst", rate: 45, listed: modelWorkers},
-	{name: "half emptied", rate: 22, listed: modelWorkers / 2},
-	{name: "gone", rate: 15, listed: 0},
+var disturbances = []disturbance{
+	{name: "calm", rate: 15, registered: modelWorkers},
+	{name: "moved turns", rate: 15, registered: modelWorkers, movedShare: 0.1},
+	{name: "burst", rate: 45, registered: modelWorkers},
+	{name: "half of the workers removed", rate: 22, registered: modelWorkers / 2},
+	{name: "all workers removed", rate: 15, registered: 0},
 }
 
-// modelFigures are what a run showed.
-type modelFigures struct {
-	mean       time.Duration
-	lost       int
-	served     int
-	far, anew  float64
-	swing      float64
-	farAtPeak  float64
-	secondsFar int
+// modelResult is the outcome of a run.
+type modelResult struct {
+	meanLatency              time.Duration
+	lost                     int
+	served                   int
+	remoteShare, rereadShare float64
+	oscillation              float64
+	peakRemoteShare          float64
+	remoteSecondsAfter       int
 }
 
-func (f modelFigures) String() string {
-	return fmt.Sprintf("mean %v, far %.3f, anew %.3f, lost %d of %d, far at the peak %.2f, swing %.2f, seconds far after %d",
-		f.mean.Round(100*time.Microsecond), f.far, f.anew, f.lost, f.served, f.farAtPeak, f.swing, f.secondsFar)
+func (r modelResult) String() string {
+	return fmt.Sprintf("mean latency %v, remote share %.3f, reread share %.3f, lost %d of %d, peak remote share %.2f, oscillation %.2f, remote seconds after the disturbance %d",
+		r.meanLatency.Round(100*time.Microsecond), r.remoteShare, r.rereadShare, r.lost, r.served, r.peakRemoteShare, r.oscillation, r.remoteSecondsAfter)
 }
 
 type modelEvent struct {
-	at   time.Time
-	turn int
-	run  func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
 type modelQueue []modelEvent
@@ -117,7 +117,7 @@
 	if !q[i].at.Equal(q[j].at) {
 		return q[i].at.Before(q[j].at)
 	}
-	return q[i].turn < q[j].turn
+	return q[i].sequence < q[j].sequence
 }
 func (q modelQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *modelQueue) Push(x any)   { *q = append(*q, x.(modelEvent)) }
@@ -128,44 +128,45 @@
 }
 
 type model struct {
-	trouble  trouble
-	random   *rand.Rand
-	now      time.Time
-	started  time.Time
-	queue    modelQueue
-	events   int
-	gateways map[string][]*Balancer
-	listed   []*directory.WorkerRecord
-	running  map[string]int
-	// prompts is the worker that had a program's last turn.
-	prompts map[string]string
-	times   time.Duration
-	anew    int
-	figures modelFigures
-	// farIn and allIn count the turns of region a by second.
-	farIn, allIn []int
+	disturbance disturbance
+	random      *rand.Rand
+	now         time.Time
+	started     time.Time
+	queue       modelQueue
+	events      int
+	gateways    map[string][]*Balancer
+	listed      []*directory.WorkerRecord
+	running     map[string]int
+	// lastWorker is the worker that served the previous turn, by program.
+	lastWorker   map[string]string
+	totalLatency time.Duration
+	rereads      int
+	result       modelResult
+	// remotePerSecond and turnsPerSecond count region a's turns served in another region and all
+	// its turns, by second.
+	remotePerSecond, turnsPerSecond []int
 }
 
-func newModel(way modelWays, trouble trouble, seed uint64) *model {
+func newModel(strategy modelStrategy, disturbance disturbance, seed uint64) *model {
 	m := &model{
-		trouble: trouble, random: rand.New(rand.NewPCG(seed, seed)), now: time.Unix(1000, 0), started: time.Unix(1000, 0),
-		gateways: make(map[string][]*Balancer), running: make(map[string]int), prompts: make(map[string]string),
-		farIn: make([]int, 2*modelTime/time.Second), allIn: make([]int, 2*modelTime/time.Second),
+		disturbance: disturbance, random: rand.New(rand.NewPCG(seed, seed)), now: time.Unix(1000, 0), started: time.Unix(1000, 0),
+		gateways: make(map[string][]*Balancer), running: make(map[string]int), lastWorker: make(map[string]string),
+		remotePerSecond: make([]int, 2*modelDuration/time.Second), turnsPerSecond: make([]int, 2*modelDuration/time.Second),
 	}
 	clock := func() time.Time { return m.now }
 	for _, region := range []string{"a", "b", "c"} {
 		for i := range modelGateways {
 			zone := fmt.Sprint(region, 1+i%2)
 			places := distance.NewTopology(zone, modelRegions)
-			if way.flat {
+			if strategy.ignoreRegions {
 				places = distance.Topology{}
 			}
 			times := distance.NewZoneLatencies(places)
-			for other, of := range modelRegions {
-				times.Observe(m.now, other, 2*wayBetween(region, of))
+			for other, otherRegion := range modelRegions {
+				times.Observe(m.now, other, 2*delayBetween(region, otherRegion))
 			}
 			balancer := NewMultiRegion(clock, "", times, places)
-			balancer.rule = way.rule
+			balancer.policy = strategy.policy
 			m.gateways[region] = append(m.gateways[region], balancer)
 		}
 		for i := range modelWorkers {
@@ -175,93 +176,93 @@
 	return m
 }
 
-func wayBetween(one, other string) time.Duration {
-	if one == other {
-		return modelNearWay
+func delayBetween(a, b string) time.Duration {
+	if a == b {
+		return modelLocalDelay
 	}
-	return modelWay
+	return modelRegionDelay
 }
 
-func (m *model) after(wait time.Duration, run func()) {
+func (m *model) schedule(delay time.Duration, run func()) {
 	m.events++
-	heap.Push(&m.queue, modelEvent{at: m.now.Add(wait), turn: m.events, run: run})
+	heap.Push(&m.queue, modelEvent{at: m.now.Add(delay), sequence: m.events, run: run})
 }
 
-func (m *model) inTrouble() bool {
-	since := m.now.Sub(m.started)
-	return since >= modelFrom && since < modelTo
+func (m *model) disturbed() bool {
+	elapsed := m.now.Sub(m.started)
+	return elapsed >= disturbanceStart && elapsed < disturbanceEnd
 }
 
-// begin starts the programs of a region, one after another.
-func (m *model) begin(region string, number int) {
-	if m.now.Sub(m.started) > modelTime {
+// startPrograms starts the programs of a region one after another.
+func (m *model) startPrograms(region string, number int) {
+	if m.now.Sub(m.started) > modelDuration {
 		return
 	}
 	rate := 15.0
-	if region == "a" && m.inTrouble() {
-		rate = m.trouble.rate
+	if region == "a" && m.disturbed() {
+		rate = m.disturbance.rate
 	}
-	m.after(time.Duration(m.random.ExpFloat64()/rate*float64(time.Second)), func() {
-		m.turn(region, fmt.Sprint(region, "/", number), modelTurns)
-		m.begin(region, number+1)
+	m.schedule(time.Duration(m.random.ExpFloat64()/rate*float64(time.Second)), func() {
+		m.startTurn(region, fmt.Sprint(region, "/", number), modelTurns)
+		m.startPrograms(region, number+1)
 	})
 }
 
-// workers returns those that are listed now.
+// workers returns the currently registered workers.
 func (m *model) workers() []*directory.WorkerRecord {
-	if !m.inTrouble() {
+	if !m.disturbed() {
 		return m.listed
 	}
-	return slices.Concat(m.listed[:m.trouble.listed], m.listed[modelWorkers:])
+	return slices.Concat(m.listed[:m.disturbance.registered], m.listed[modelWorkers:])
 }
 
-// turn sends one turn of a program.
-func (m *model) turn(region, program string, left int) {
-	at := region
-	if m.random.Float64() < m.trouble.moved {
-		at = []string{"a", "b", "c"}[m.random.IntN(3)]
+// startTurn sends one turn of a program.
+func (m *model) startTurn(region, program string, turnsLeft int) {
+	gatewayRegion := region
+	if m.random.Float64() < m.disturbance.movedShare {
+		gatewayRegion = []string{"a", "b", "c"}[m.random.IntN(3)]
 	}
-	gateway := m.gateways[at][m.random.IntN(modelGateways)]
+	gateway := m.gateways[gatewayRegion][m.random.IntN(modelGateways)]
 	m.send(&modelTurn{
-		region: region, at: at, program: program, left: left, gateway: gateway, began: m.now, tried: make(map[string]bool),
+		region: region, gatewayRegion: gatewayRegion, program: program, turnsLeft: turnsLeft, gateway: gateway, startedAt: m.now, tried: make(map[string]bool),
 	})
 }
 
 type modelTurn struct {
-	region, at, program string
-	left                int
-	gateway             *Balancer
-	began               time.Time
-	tried               map[string]bool
+	region, gatewayRegion, program string
+	turnsLeft                      int
+	gateway                        *Balancer
+	startedAt                      time.Time
+	tried                          map[string]bool
 }
 
 func (m *model) send(turn *modelTurn) {
-	waited := m.now.Sub(turn.began)
+	waited := m.now.Sub(turn.startedAt)
 	if waited > modelDeadline {
-		m.figures.lost++
+		m.result.lost++
 		return
 	}
 	request := Request{
-		Affinity: turn.program, Service: "s", Tried: turn.tried, Remaining: modelDeadline - waited, TypicalLatency: modelWork, PriorityRank: 1,
+		Affinity: turn.program, Service: "s", Tried: turn.tried, Remaining: modelDeadline - waited, TypicalLatency: modelLatency, PriorityRank: 1,
 	}
-	if len(turn.tried) == modelTries {
+	if len(turn.tried) == modelMaxTries {
 		clear(turn.tried)
-		m.after(modelFull, func() { m.send(turn) })
+		m.schedule(modelRetryDelay, func() { m.send(turn) })
 		return
 	}
 	chosen, found := turn.gateway.Choose(m.workers(), request)
 	if !found {
 		clear(turn.tried)
-		m.after(modelFull, func() { m.send(turn) })
+		m.schedule(modelRetryDelay, func() { m.send(turn) })
 		return
 	}
-	way := wayBetween(turn.at, modelRegions[chosen.Zone])
-	m.after(way, func() { m.arrive(turn, chosen.Worker, way) })
+	delay := delayBetween(turn.gatewayRegion, modelRegions[chosen.Zone])
+	m.schedule(delay, func() { m.arrive(turn, chosen.Worker, delay) })
 }
 
-func (m *model) arrive(turn *modelTurn, worker directory.Worker, way time.Duration) {
+func (m *model) arrive(turn *modelTurn, worker directory.Worker, delay time.Duration) {
 	if m.running[worker.ID] >= modelSlots {
-		m.after(way, func() {
+		m.schedule(delay, func() {
 			turn.tried[worker.ID] = true
 			turn.gateway.Done(worker.ID, Rejected)
 			m.send(turn)
@@ -269,118 +270,119 @@
 		return
 	}
 	m.running[worker.ID]++
-	work := modelWork + time.Duration(float64(modelWork)/2*float64(m.running[worker.ID])/modelSlots)
-	if m.prompts[turn.program] != worker.ID {
-		work += modelReading
-		if turn.left < modelTurns {
-			m.anew++
+	duration := modelLatency + time.Duration(float64(modelLatency)/2*float64(m.running[worker.ID])/modelSlots)
+	if m.lastWorker[turn.program] != worker.ID {
+		duration += modelPromptLatency
+		if turn.turnsLeft < modelTurns {
+			m.rereads++
 		}
 	}
-	m.prompts[turn.program] = worker.ID
-	m.after(work, func() { m.running[worker.ID]-- })
-	m.after(work+way, func() { m.end(turn, worker, way) })
+	m.lastWorker[turn.program] = worker.ID
+	m.schedule(duration, func() { m.running[worker.ID]-- })
+	m.schedule(duration+delay, func() { m.finishTurn(turn, worker, delay) })
 }
 
-func (m *model) end(turn *modelTurn, worker directory.Worker, way time.Duration) {
+func (m *model) finishTurn(turn *modelTurn, worker directory.Worker, delay time.Duration) {
 	turn.gateway.Done(worker.ID, Served)
-	m.figures.served++
-	m.times += m.now.Sub(turn.began)
+	m.result.served++
+	m.totalLatency += m.now.Sub(turn.startedAt)
 	second := int(m.now.Sub(m.started) / time.Second)
-	far := 0
-	if way == modelWay {
-		far = 1
-		m.figures.far++
+	remote := 0
+	if delay == modelRegionDelay {
+		remote = 1
+		m.result.remoteShare++
 	}
-	if turn.at == "a" && second < len(m.allIn) {
-		m.allIn[second]++
-		m.farIn[second] += far
+	if turn.gatewayRegion == "a" && second < len(m.turnsPerSecond) {
+		m.turnsPerSecond[second]++
+		m.remotePerSecond[second] += remote
 	}
-	if turn.left > 1 {
-		m.after(modelThink, func() { m.turn(turn.region, turn.program, turn.left-1) })
+	if turn.turnsLeft > 1 {
+		m.schedule(modelTurnDelay, func() { m.startTurn(turn.region, turn.program, turn.turnsLeft-1) })
 	}
 }
 
-// run plays the model to its end.
-func (m *model) run() modelFigures {
+// run simulates the model until no events are left.
+func (m *model) run() modelResult {
 	for _, region := range []string{"a", "b", "c"} {
-		m.begin(region, 0)
+		m.startPrograms(region, 0)
 	}
 	for m.queue.Len() > 0 {
 		next := heap.Pop(&m.queue).(modelEvent)
 		m.now = next.at
 		next.run()
 	}
-	served := float64(m.figures.served)
-	m.figures.mean = m.times / time.Duration(m.figures.served)
-	m.figures.far /= served
-	m.figures.anew = float64(m.anew) / served
-	m.measureSwing()
-	return m.figures
+	served := float64(m.result.served)
+	m.result.meanLatency = m.totalLatency / time.Duration(m.result.served)
+	m.result.remoteShare /= served
+	m.result.rereadShare = float64(m.rereads) / served
+	m.measureOscillation()
+	return m.result
 }
 
-// measureSwing finds the share of region a's turns that were served far by second, smoothed
-// over three; swing is how far it moved up and down beyond one rise and one fall.
-func (m *model) measureSwing() {
-	last := int(modelTime / time.Second)
+// measureOscillation computes the share of region a's turns that were served in another region, by
+// second and smoothed over three seconds. The oscillation is the sum of its changes beyond one rise
+// to the peak and one fall.
+func (m *model) measureOscillation() {
+	last := int(modelDuration / time.Second)
 	share := func(second int) float64 {
-		far, all := 0, 0
+		remote, all := 0, 0
 		for _, each := range []int{second - 1, second, second + 1} {
-			far, all = far+m.farIn[each], all+m.allIn[each]
+			remote, all = remote+m.remotePerSecond[each], all+m.turnsPerSecond[each]
 		}
-		return float64(far) / float64(max(1, all))
+		return float64(remote) / float64(max(1, all))
 	}
 	var shares []float64
-	moved := 0.0
+	changes := 0.0
 	for second := 2; second < last; second++ {
 		shares = append(shares, share(second))
 		if n := len(shares); n > 1 {
-			moved += max(shares[n-1]-shares[n-2], shares[n-2]-shares[n-1])
+			changes += max(shares[n-1]-shares[n-2], shares[n-2]-shares[n-1])
 		}
-		if second > int(modelTo/time.Second) && share(second) > 0.05 {
-			m.figures.secondsFar++
+		if second > int(disturbanceEnd/time.Second) && share(second) > 0.05 {
+			m.result.remoteSecondsAfter++
 		}
 	}
-	m.figures.farAtPeak = slices.MaxFunc(shares, cmp.Compare)
-	m.figures.swing = max(0, moved-2*m.figures.farAtPeak)
+	m.result.peakRemoteShare = slices.MaxFunc(shares, cmp.Compare)
+	m.result.oscillation = max(0, changes-2*m.result.peakRemoteShare)
 }
 
-// meanOfRuns plays a way several times, each with other random numbers.
-func meanOfRuns(way modelWays, trouble trouble) (mean modelFigures) {
+// averageRuns averages runs with different random seeds.
+func averageRuns(strategy modelStrategy, disturbance disturbance) (mean modelResult) {
 	const runs = 2
 	for seed := range uint64(runs) {
-		shown := newModel(way, trouble, seed).run()
-		mean.mean += shown.mean / runs
-		mean.lost += shown.lost
-		mean.served += shown.served
-		mean.far += shown.far / runs
-		mean.anew += shown.anew / runs
-		mean.swing += shown.swing / runs
-		mean.farAtPeak += shown.farAtPeak / runs
-		mean.secondsFar = max(mean.secondsFar, shown.secondsFar)
+		result := newModel(strategy, disturbance, seed).run()
+		mean.meanLatency += result.meanLatency / runs
+		mean.lost += result.lost
+		mean.served += result.served
+		mean.remoteShare += result.remoteShare / runs
+		mean.rereadShare += result.rereadShare / runs
+		mean.oscillation += result.oscillation / runs
+		mean.peakRemoteShare += result.peakRemoteShare / runs
+		mean.remoteSecondsAfter = max(mean.remoteSecondsAfter, result.remoteSecondsAfter)
 	}
 	return mean
 }
 
-// TestCostPolicyOutperformsAlternatives plays each way in each trouble. The default one must be no
-// slower, cross regions no more often and swing less than the others.
+// TestCostPolicyOutperformsAlternatives simulates each strategy under each disturbance. The cost
+// policy must be no slower, use other regions no more and oscillate less than the alternatives.
 func TestCostPolicyOutperformsAlternatives(t *testing.T) {
-	figures := make(map[string]map[string]modelFigures)
-	for _, trouble := range troubles {
-		figures[trouble.name] = make(map[string]modelFigures)
-		for _, way := range ways {
-			shown := meanOfRuns(way, trouble)
-			figures[trouble.name][way.name] = shown
-			t.Logf("%-12s %-10s %v", trouble.name, way.name, shown)
+	results := make(map[string]map[string]modelResult)
+	for _, disturbance := range disturbances {
+		results[disturbance.name] = make(map[string]modelResult)
+		for _, strategy := range strategies {
+			result := averageRuns(strategy, disturbance)
+			results[disturbance.name][strategy.name] = result
+			t.Logf("%-12s %-10s %v", disturbance.name, strategy.name, result)
 		}
 	}
-	for name, shown := range figures {
-		cost, classes, flat := shown["cost"], shown["classes"], shown["one region"]
+	for name, result := range results {
+		cost, threshold, singleRegion := result["cost"], result["threshold"], result["one region"]
 		require.Zero(t, cost.lost, name)
-		require.Less(t, cost.mean, flat.mean, "%s: the way costs time", name)
-		require.Less(t, cost.far, flat.far/2, "%s: bytes over regions", name)
-		require.LessOrEqual(t, cost.mean, classes.mean, name)
-		require.LessOrEqual(t, cost.far, classes.far, name)
-		require.Less(t, cost.swing, 0.25, "%s: all gateways move at once", name)
-		require.LessOrEqual(t, cost.secondsFar, 15, "%s: it comes back", name)
+		require.Less(t, cost.meanLatency, singleRegion.meanLatency, "%s: ignoring regions must cost time", name)
+		require.Less(t, cost.remoteShare, singleRegion.remoteShare/2, "%s: traffic between regions", name)
+		require.LessOrEqual(t, cost.meanLatency, threshold.meanLatency, name)
+		require.LessOrEqual(t, cost.remoteShare, threshold.remoteShare, name)
+		require.Less(t, cost.oscillation, 0.25, "%s: gateways must not move requests back and forth", name)
+		require.LessOrEqual(t, cost.remoteSecondsAfter, 15, "%s: requests must return to their region", name)
 	}
 }
--- a/internal/balance/shared_test.go
+++ b/internal/balance/observations_test.go
@@ -7,32 +7,32 @@
 )
 
 func TestSuspectIsAvoidedTemporarily(t *testing.T) {
-	now, clock := fixed()
+	now, clock := fixedClock()
 	b := New(clock, "")
-	listed := workers(4)
+	workers := makeWorkers(4)
 	b.MarkSuspect([]string{"w2"})
 	for range 40 {
-		id := choose(t, b, listed, Request{})
+		id := chooseID(t, b, workers, Request{})
 		require.NotEqual(t, "w2", id)
 		b.Done(id, Served)
 	}
-	*now = now.Add(suspectFor)
+	*now = now.Add(suspectDuration)
 	used := make(map[string]bool)
 	for range 40 {
-		id := choose(t, b, listed, Request{})
+		id := chooseID(t, b, workers, Request{})
 		used[id] = true
 		b.Done(id, Served)
 	}
-	require.True(t, used["w2"], "it is tried again")
+	require.True(t, used["w2"], "the worker must be used again after suspectDuration")
 }
 
 func TestMostlySuspectWorkersAreAllUsed(t *testing.T) {
-	_, clock := fixed()
+	_, clock := fixedClock()
 	b := New(clock, "")
 	b.MarkSuspect([]string{"w0", "w1", "w2"})
 	used := make(map[string]bool)
 	for range 60 {
-		id := choose(t, b, workers(4), Request{})
+		id := chooseID(t, b, makeWorkers(4), Request{})
 		used[id] = true
 		b.Done(id, Served)
 	}
@@ -40,15 +40,15 @@
 }
 
 func TestObservationsAreTakenOnce(t *testing.T) {
-	_, clock := fixed()
+	_, clock := fixedClock()
 	b := New(clock, "")
-	for _, verdict := range []AttemptResult{Served, Failed, WorkerError, Unreachable, Canceled, Rejected} {
+	for _, result := range []AttemptResult{Served, Failed, WorkerError, Unreachable, Canceled, Rejected} {
 		b.Begin("w")
-		b.Done("w", verdict)
+		b.Done("w", result)
 	}
 	b.ObserveLatency("w", 1.5)
 	b.ObserveLatency("w", 0.5)
 	require.Equal(t, []Observation{{Worker: "w", Responses: 1, Failures: 3, LatencySamples: 2, LatencyRatioSum: 2}}, b.TakeObservations(),
-		"what the client or a full worker ended says nothing of the worker")
+		"canceled and rejected attempts must not count for or against the worker")
 	require.Empty(t, b.TakeObservations())
 }
--- a/internal/balance/reference_test.go
+++ b/internal/balance/reference_test.go
@@ -15,31 +15,31 @@
 	"github.com/barleyshelf/barleyshelf/internal/distance"
 )
 
-// listedCandidate and the functions after it are the choice within one region, written for
-// clearness: all lists are made, and ordered by rank. Choose must agree with it.
-type listedCandidate struct {
+// referenceCandidate and the functions below are a simple implementation of the choice within one
+// region, which builds and sorts complete lists. Choose must agree with it.
+type referenceCandidate struct {
 	worker *directory.WorkerRecord
 	load   int
 	rank   uint64
 }
 
-func (b *Balancer) chooseByLists(workers []*directory.WorkerRecord, request Request) (directory.Worker, bool) {
-	b.turn++
-	b.rateOf(request.Service).count(b.now())
-	candidates := b.listCandidates(workers, request)
+func (b *Balancer) referenceChoose(workers []*directory.WorkerRecord, request Request) (directory.Worker, bool) {
+	b.choices++
+	b.rateOf(request.Service).observe(b.now())
+	candidates := b.referenceCandidates(workers, request)
 	if len(candidates) == 0 {
 		return directory.Worker{}, false
 	}
-	if near := b.listNearFirst(candidates, request, zonesOf(workers)); len(near) > 0 {
-		candidates = near
+	if local := b.referencePreferLocalZone(candidates, request, countZones(workers)); len(local) > 0 {
+		candidates = local
 	}
-	best := pickOfList(candidates, request)
-	b.of(best.worker.ID).inFlight++
+	best := referencePick(candidates, request)
+	b.statsOf(best.worker.ID).inFlight++
 	return best.worker.Worker, true
 }
 
-// zonesOf returns how many workers each zone has.
-func zonesOf(workers []*directory.WorkerRecord) map[string]int {
+// countZones returns the number of workers by zone.
+func countZones(workers []*directory.WorkerRecord) map[string]int {
 	zones := make(map[string]int)
 	for _, worker := range workers {
 		zones[worker.Zone]++
@@ -47,67 +47,67 @@
 	return zones
 }
 
-// pickOfList returns the first candidate by rank that has not clearly more under way
-// than the least loaded one.
-func pickOfList(candidates []listedCandidate, request Request) listedCandidate {
-	least := math.MaxInt
+// referencePick returns the first candidate by rank whose load exceeds the lowest load by no more
+// than the allowed slack.
+func referencePick(candidates []referenceCandidate, request Request) referenceCandidate {
+	lowest := math.MaxInt
 	for _, each := range candidates {
-		least = min(least, each.load)
+		lowest = min(lowest, each.load)
 	}
 	slack := 0
 	if request.Affinity != "" {
 		slack = affinitySlack
 	}
 	for _, each := range candidates {
-		if each.load <= least+slack {
+		if each.load <= lowest+slack {
 			return each
 		}
 	}
 	return candidates[0]
 }
 
-// listCandidates returns the workers that may be chosen, by rank. Ejected and slow
-// workers are left out, unless they are more than maxEjected of the service.
-func (b *Balancer) listCandidates(workers []*directory.WorkerRecord, request Request) []listedCandidate {
+// referenceCandidates returns the workers that can be chosen, by rank. Ejected and slow workers are
+// excluded unless they exceed maxEjectedShare of the service.
+func (b *Balancer) referenceCandidates(workers []*directory.WorkerRecord, request Request) []referenceCandidate {
 	now := b.now()
-	typical := b.typicalPaceOfList(now, workers)
-	var usable, lapsed, ejected []listedCandidate
+	median := b.referenceMedianLatency(now, workers)
+	var usable, lapsed, ejected []referenceCandidate
 	for _, worker := range workers {
 		if request.Tried[worker.ID] {
 			continue
 		}
-		known := b.of(worker.ID)
-		each := listedCandidate{worker: worker, load: known.inFlight, rank: b.listRank(request.Affinity, worker.ID)}
+		stats := b.statsOf(worker.ID)
+		each := referenceCandidate{worker: worker, load: stats.inFlight, rank: b.referenceRank(request.Affinity, worker.ID)}
 		switch {
 		case worker.Lapsed:
 			lapsed = append(lapsed, each)
-		case now.Before(known.ejectedUntil), now.Before(known.suspectUntil), typical > 0 && known.pace.known(now) && known.pace.value > slowFactor*typical:
+		case now.Before(stats.ejectedUntil), now.Before(stats.suspectUntil), median > 0 && stats.latency.valid(now) && stats.latency.ratio > slowFactor*median:
 			ejected = append(ejected, each)
 		default:
 			usable = append(usable, each)
 		}
 	}
-	if float64(len(ejected)) > maxEjected*float64(len(usable)+len(ejected)) {
+	if float64(len(ejected)) > maxEjectedShare*float64(len(usable)+len(ejected)) {
 		usable = append(usable, ejected...)
 		ejected = nil
 	}
-	for _, reserve := range [][]listedCandidate{lapsed, ejected} {
+	for _, fallback := range [][]referenceCandidate{lapsed, ejected} {
 		if len(usable) == 0 {
-			usable = reserve
+			usable = fallback
 		}
 	}
 	sort.Slice(usable, func(i, j int) bool { return usable[i].rank < usable[j].rank })
 	return usable
 }
 
-func (b *Balancer) listRank(affinity, worker string) uint64 {
+func (b *Balancer) referenceRank(affinity, worker string) uint64 {
 	digest := xxhash.New()
 	if affinity == "" {
-		var turn [8]byte
-		for i := range turn {
-			turn[i] = byte(b.turn >> (8 * i))
+		var sequence [8]byte
+		for i := range sequence {
+			sequence[i] = byte(b.choices >> (8 * i))
 		}
-		digest.Write(turn[:])
+		digest.Write(sequence[:])
 	} else {
 		digest.WriteString(affinity)
 	}
@@ -116,49 +116,47 @@
 	return digest.Sum64()
 }
 
-// listNearFirst returns those candidates that are in the own zone and have not clearly more
-// under way than the least loaded of all. nil means that all are to be considered: this
-// process has requests enough for every worker, the own zone has too few that are
-// usable, or these have much to do.
-func (b *Balancer) listNearFirst(usable []listedCandidate, request Request, listed map[string]int) []listedCandidate {
-	if b.zone == "" || !b.rateOf(request.Service).spreadsTooThin(b.now(), len(usable)) {
+// referencePreferLocalZone returns the candidates in the local zone whose load exceeds the lowest
+// load of all by no more than the allowed slack. It returns nil if all candidates must be
+// considered: the request rate is high enough to reuse connections to every worker, too few workers
+// of the local zone are usable, or all of these have a high load.
+func (b *Balancer) referencePreferLocalZone(usable []referenceCandidate, request Request, listedByZone map[string]int) []referenceCandidate {
+	if b.zone == "" || !b.rateOf(request.Service).tooLowForReuse(b.now(), len(usable)) {
 		return nil
 	}
-	least := math.MaxInt
-	inZone := 0
+	lowest := math.MaxInt
+	usableInZone := 0
 	for _, each := range usable {
-		least = min(least, each.load)
+		lowest = min(lowest, each.load)
 		if each.worker.Zone == b.zone {
-			inZone++
+			usableInZone++
 		}
 	}
-	if float64(inZone) < nearUsable*float64(listed[b.zone]) {
+	if float64(usableInZone) < minUsableShare*float64(listedByZone[b.zone]) {
 		return nil
 	}
-	slack := nearSlack
+	slack := localZoneSlack
 	if request.Affinity != "" {
 		slack = affinitySlack
 	}
-	var near []listedCandidate
+	var local []referenceCandidate
 	for _, each := range usable {
-		if each.worker.Zone == b.zone && each.load <= least+slack {
-			near = append(near, each)
+		if each.worker.Zone == b.zone && each.load <= lowest+slack {
+			local = append(local, each)
 		}
 	}
-	if connected := connectedOfList(near, request); len(connected) > 0 {
+	if connected := referenceConnected(local, request); len(connected) > 0 {
 		return connected
 	}
-	return near
+	return local
 }
 
-// connectedOfList returns those candidates that a request without affinity reaches on a
-// connection that is open already. Each process begins with workers of its own, drawn at
-// random, so that processes do not gather at the same ones.
-func connectedOfList(near []listedCandidate, request Request) (connected []listedCandidate) {
+// referenceConnected returns the candidates with an idle connection if the request has no affinity.
+func referenceConnected(candidates []referenceCandidate, request Request) (connected []referenceCandidate) {
 	if request.Affinity != "" || request.HasIdleConnection == nil {
 		return nil
 	}
-	for _, each := range near {
+	for _, each := range candidates {
 		if request.HasIdleConnection(each.worker.Address) {
 			connected = append(connected, each)
 		}
@@ -166,41 +164,40 @@
 	return connected
 }
 
-// typicalPaceOfList is the median of the known paces; 0 where fewer than three are
-// known.
-func (b *Balancer) typicalPaceOfList(now time.Time, workers []*directory.WorkerRecord) float64 {
-	const enough = 3
-	var known []float64
+// referenceMedianLatency returns the median of the known latency ratios, or 0 if fewer than three
+// are known.
+func (b *Balancer) referenceMedianLatency(now time.Time, workers []*directory.WorkerRecord) float64 {
+	const minRatios = 3
+	var ratios []float64
 	for _, worker := range workers {
-		if record := b.record[worker.ID]; record != nil && record.pace.known(now) {
-			known = append(known, record.pace.value)
+		if stats := b.stats[worker.ID]; stats != nil && stats.latency.valid(now) {
+			ratios = append(ratios, stats.latency.ratio)
 		}
 	}
-	if len(known) < enough {
+	if len(ratios) < minRatios {
 		return 0
 	}
-	sort.Float64s(known)
-	return known[len(known)/2]
+	sort.Float64s(ratios)
+	return ratios[len(ratios)/2]
 }
 
-// oneRegion are maps of zones to regions in which no zone is known to be in another region
-// than "a".
+// oneRegion contains assignments in which no zone is known to be in another region than zone "a".
 var oneRegion = []map[string]string{nil, {"a": "r", "b": "r", "c": "r", "d": "r"}, {"b": "r", "c": "s"}}
 
-// TestChooseAgreesWithReferenceInOneRegion holds for any history that the choice among
-// workers of one region, or of zones without regions, is the one made by lists.
+// TestChooseAgreesWithReferenceInOneRegion compares Choose with the reference for random histories,
+// with workers of one region or of zones without regions.
 func TestChooseAgreesWithReferenceInOneRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
 		zone := rapid.SampledFrom([]string{"", "a"}).Draw(t, "zone")
 		places := distance.NewTopology("a", rapid.SampledFrom(oneRegion).Draw(t, "regions"))
-		made, wanted := NewMultiRegion(clock, zone, distance.NewZoneLatencies(places), places), New(clock, zone)
-		listed := make([]*directory.WorkerRecord, rapid.IntRange(0, 24).Draw(t, "workers"))
-		for i := range listed {
+		balancer, reference := NewMultiRegion(clock, zone, distance.NewZoneLatencies(places), places), New(clock, zone)
+		workers := make([]*directory.WorkerRecord, rapid.IntRange(0, 24).Draw(t, "workers"))
+		for i := range workers {
 			id := fmt.Sprint("w", i)
-			listed[i] = &directory.WorkerRecord{Worker: directory.Worker{ID: id, Address: id, Zone: string(rune('a' + i%4))}}
-			listed[i].Lapsed = rapid.IntRange(0, 9).Draw(t, "lapsed") == 0
+			workers[i] = &directory.WorkerRecord{Worker: directory.Worker{ID: id, Address: id, Zone: string(rune('a' + i%4))}}
+			workers[i].Lapsed = rapid.IntRange(0, 9).Draw(t, "lapsed") == 0
 		}
 		connected := func(address string) bool { return len(address)%2 == 0 }
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -213,21 +210,21 @@
 			if rapid.Bool().Draw(t, "connections") {
 				request.HasIdleConnection = connected
 			}
-			want, wantFound := wanted.chooseByLists(listed, request)
-			have, found := made.Choose(listed, request)
+			want, wantFound := reference.referenceChoose(workers, request)
+			have, found := balancer.Choose(workers, request)
 			require.Equal(t, wantFound, found)
 			require.Equal(t, want, have.Worker)
 			if !found {
 				continue
 			}
 			require.Equal(t, LocalRegion, have.RegionReason)
-			verdict := AttemptResult(rapid.IntRange(int(Served), int(Canceled)).Draw(t, "verdict"))
-			took := rapid.Float64Range(0.1, 4).Draw(t, "took")
-			goesOn := rapid.IntRange(0, 2).Draw(t, "goes on") == 0
-			for _, each := range []*Balancer{made, wanted} {
-				each.ObserveLatency(want.ID, took)
-				if !goesOn {
-					each.Done(want.ID, verdict)
+			result := AttemptResult(rapid.IntRange(int(Served), int(Canceled)).Draw(t, "result"))
+			ratio := rapid.Float64Range(0.1, 4).Draw(t, "ratio")
+			continues := rapid.IntRange(0, 2).Draw(t, "continues") == 0
+			for _, each := range []*Balancer{balancer, reference} {
+				each.ObserveLatency(want.ID, ratio)
+				if !continues {
+					each.Done(want.ID, result)
 				}
 			}
 		}
--- a/internal/balance/subset.go
+++ b/internal/balance/subset.go
@@ -7,92 +7,95 @@
 )
 
 const (
-	// leastSubset is of how many workers of each zone a process chooses at least. Few workers get
-	// the requests, so that they have the prompts that many share and connections stay open;
-	// half of them may fail while a zone of the users' fleet, with 100 turns a second, fills no
-	// more than a third of the places of the others.
-	leastSubset = 32
-	// subsetMemory is the time over which attempts are counted, subsetDoubt how many that went
-	// well are added: one request that was turned away is no reason to grow.
-	subsetMemory = 4 * time.Second
-	subsetDoubt  = 10
-	// growShare is the share of attempts that workers turned away or failed from which on a
-	// subset is doubled, and growPause the least time between two times: what the last one
-	// brought must show.
-	growShare = 0.1
-	growPause = 500 * time.Millisecond
-	// shrinkAfter is how long nothing must have been turned away before a subset is halved: what
-	// has left a worker has its prompt elsewhere.
-	shrinkAfter = 30 * time.Second
+	// minSubsetSize is the minimum number of workers of each zone that a process chooses from. A
+	// small subset increases prompt cache hits and connection reuse. Half of a subset of 32 can
+	// fail while a zone of the users' fleet, with 100 turns per second, fills at most a third of
+	// the capacity of the others.
+	minSubsetSize = 32
+	// subsetWindow is the time constant of the attempt rates. subsetPrior is the number of
+	// successful attempts added to them, so that a single rejection does not grow a subset.
+	subsetWindow = 4 * time.Second
+	subsetPrior  = 10
+	// growFailureShare is the share of rejected or failed attempts above which a subset is doubled.
+	// minGrowInterval is the minimum time between two increases, in which the last one can take
+	// effect.
+	growFailureShare = 0.1
+	minGrowInterval  = 500 * time.Millisecond
+	// shrinkDelay is how long few attempts must have been rejected or failed before a subset is
+	// halved. It is long because moving conversations away from a worker loses their cached
+	// prompts.
+	shrinkDelay = 30 * time.Second
 )
 
-// SubsetSizes decides of how many workers of each zone this process chooses, by service. The load
-// that it answers is that of large fleets: all of a small one's workers are chosen from. It is safe
-// for concurrent use.
+// SubsetSizes determines, for each service, from how many workers of each zone this process
+// chooses. It matters only in large fleets: in a small one, all workers are in the subset. It is
+// safe for concurrent use.
 type SubsetSizes struct {
 	now      func() time.Time
 	services sync.Map
 }
 
-// subsetSize is that of one service.
+// subsetSize is the subset size of one service.
 type subsetSize struct {
 	size  atomic.Int64
 	mutex sync.Mutex
-	// all and unfit are the rates of attempts and of those that were turned away or failed.
-	all, unfit fadingRate
-	// changed is when the size changed last, needed when more than a few were unfit last.
-	changed, needed time.Time
+	// all and failed are the rates of all attempts and of those that were rejected or failed.
+	all, failed decayingRate
+	// changedAt is the time of the last change of the size. pressuredAt is when the share of
+	// failures last exceeded half of growFailureShare.
+	changedAt, pressuredAt time.Time
 }
 
-// NewSubsetSizes returns sizes that nothing has been seen of.
+// NewSubsetSizes returns sizes without any observations.
 func NewSubsetSizes(now func() time.Time) *SubsetSizes { return &SubsetSizes{now: now} }
 
-// Estimate returns of how many workers of each zone requests of a service choose.
-func (s *SubsetSizes) Size(service string) int { return int(s.of(service).size.Load()) }
+// Size returns the current subset size of a service.
+func (s *SubsetSizes) Size(service string) int { return int(s.forService(service).size.Load()) }
 
-func (s *SubsetSizes) of(service string) *subsetSize {
-	if known, found := s.services.Load(service); found {
-		return known.(*subsetSize)
+func (s *SubsetSizes) forService(service string) *subsetSize {
+	if size, found := s.services.Load(service); found {
+		return size.(*subsetSize)
 	}
-	made := &subsetSize{changed: s.now()}
-	made.size.Store(leastSubset)
-	known, _ := s.services.LoadOrStore(service, made)
-	return known.(*subsetSize)
+	created := &subsetSize{changedAt: s.now()}
+	created.size.Store(minSubsetSize)
+	size, _ := s.services.LoadOrStore(service, created)
+	return size.(*subsetSize)
 }
 
-// Observe takes how an attempt ended at a worker of a service that has so many workers.
-func (s *SubsetSizes) Observe(service string, verdict AttemptResult, workers int) {
-	if verdict == Canceled {
+// Observe records the result of an attempt at a worker of a service that has the given number of
+// workers.
+func (s *SubsetSizes) Observe(service string, result AttemptResult, workers int) {
+	if result == Canceled {
 		return
 	}
-	known, now := s.of(service), s.now()
-	known.mutex.Lock()
-	defer known.mutex.Unlock()
-	known.all.count(now, subsetMemory)
-	if verdict == Rejected || verdict == Failed || verdict == Unreachable {
-		known.unfit.count(now, subsetMemory)
+	size, now := s.forService(service), s.now()
+	size.mutex.Lock()
+	defer size.mutex.Unlock()
+	size.all.observe(now, subsetWindow)
+	if result == Rejected || result == Failed || result == Unreachable {
+		size.failed.observe(now, subsetWindow)
 	}
-	known.size.Store(known.next(now, int64(workers)))
+	size.size.Store(size.nextSize(now, int64(workers)))
 }
 
-// next returns the size after an attempt. The mutex is held.
-func (k *subsetSize) next(now time.Time, workers int64) int64 {
-	size := k.size.Load()
-	share := k.unfit.now(now, subsetMemory) / (k.all.now(now, subsetMemory) + subsetDoubt/subsetMemory.Seconds())
+// nextSize returns the size after an attempt. The mutex must be held.
+func (s *subsetSize) nextSize(now time.Time, workers int64) int64 {
+	size := s.size.Load()
+	share := s.failed.perSecond(now, subsetWindow) / (s.all.perSecond(now, subsetWindow) + subsetPrior/subsetWindow.Seconds())
 	switch {
-	case share > growShare && size < workers && now.Sub(k.changed) >= growPause:
-		k.changed, k.needed = now, now
+	case share > growFailureShare && size < workers && now.Sub(s.changedAt) >= minGrowInterval:
+		s.changedAt, s.pressuredAt = now, now
 		return 2 * size
-	case share > growShare/2:
-		k.needed = now
-	case size > leastSubset && now.Sub(k.changed) >= shrinkAfter && now.Sub(k.needed) >= shrinkAfter:
-		k.changed = now
+	case share > growFailureShare/2:
+		s.pressuredAt = now
+	case size > minSubsetSize && now.Sub(s.changedAt) >= shrinkDelay && now.Sub(s.pressuredAt) >= shrinkDelay:
+		s.changedAt = now
 		return size / 2
 	}
 	return size
 }
 
-// Prune drops the services that are not declared.
+// Prune removes the services that are not declared.
 func (s *SubsetSizes) Prune(declared func(service string) bool) {
 	for service := range s.services.Range {
 		if !declared(service.(string)) {
--- a/internal/balance/subset_test.go
+++ b/internal/balance/subset_test.go
@@ -10,37 +10,37 @@
 const manyWorkers = 1000
 
 func TestSubsetGrowsUnderRejectionsAndShrinksLater(t *testing.T) {
-	now, clock := fixed()
+	now, clock := fixedClock()
 	sizes := NewSubsetSizes(clock)
-	require.Equal(t, leastSubset, sizes.Size("s"))
-	play := func(last time.Duration, verdict AttemptResult) {
-		for until := now.Add(last); now.Before(until); *now = now.Add(20 * time.Millisecond) {
-			sizes.Observe("s", verdict, manyWorkers)
+	require.Equal(t, minSubsetSize, sizes.Size("s"))
+	observeFor := func(duration time.Duration, result AttemptResult) {
+		for until := now.Add(duration); now.Before(until); *now = now.Add(20 * time.Millisecond) {
+			sizes.Observe("s", result, manyWorkers)
 		}
 	}
-	play(10*time.Second, Served)
-	require.Equal(t, leastSubset, sizes.Size("s"))
-	play(time.Second, Rejected)
-	require.Greater(t, sizes.Size("s"), leastSubset)
-	require.LessOrEqual(t, sizes.Size("s"), 4*leastSubset, "each step is to show")
-	play(time.Minute, Rejected)
+	observeFor(10*time.Second, Served)
+	require.Equal(t, minSubsetSize, sizes.Size("s"))
+	observeFor(time.Second, Rejected)
+	require.Greater(t, sizes.Size("s"), minSubsetSize)
+	require.LessOrEqual(t, sizes.Size("s"), 4*minSubsetSize, "increases must be minGrowInterval apart")
+	observeFor(time.Minute, Rejected)
 	grown := sizes.Size("s")
-	require.GreaterOrEqual(t, grown, manyWorkers, "all, if it must be")
-	play(time.Minute, Rejected)
+	require.GreaterOrEqual(t, grown, manyWorkers, "the subset may grow to all workers")
+	observeFor(time.Minute, Rejected)
 	require.Equal(t, grown, sizes.Size("s"))
-	play(shrinkAfter/2, Served)
-	require.Equal(t, grown, sizes.Size("s"), "what was moved stays for a while")
-	play(10*shrinkAfter, Served)
-	require.Equal(t, leastSubset, sizes.Size("s"))
-	require.Equal(t, leastSubset, sizes.Size("t"), "by service")
+	observeFor(shrinkDelay/2, Served)
+	require.Equal(t, grown, sizes.Size("s"), "the subset must not shrink before shrinkDelay")
+	observeFor(10*shrinkDelay, Served)
+	require.Equal(t, minSubsetSize, sizes.Size("s"))
+	require.Equal(t, minSubsetSize, sizes.Size("t"), "sizes are separate by service")
 }
 
 func TestSingleRejectionDoesNotGrowSubset(t *testing.T) {
-	now, clock := fixed()
+	now, clock := fixedClock()
 	sizes := NewSubsetSizes(clock)
 	sizes.Observe("s", Served, manyWorkers)
-	*now = now.Add(2 * growPause)
+	*now = now.Add(2 * minGrowInterval)
 	sizes.Observe("s", Rejected, manyWorkers)
 	sizes.Observe("s", Served, manyWorkers)
-	require.Equal(t, leastSubset, sizes.Size("s"))
+	require.Equal(t, minSubsetSize, sizes.Size("s"))
 }
--- a/internal/eligibility/eligibility.go
+++ b/internal/eligibility/eligibility.go
@@ -1,7 +1,6 @@
-// Package eligibility holds the one answer to the question whether a request may go to a
-// worker now. Every path that sends asks it: the first choice, repeats, streams that are
-// taken up again, requests that waited for room, and a last time what is about to be sent.
-// It is pure: it does no I/O and reads no clock.
+// Package eligibility decides whether a request may be sent to a worker. Every path that sends
+// requests uses it: the first choice, retries, resumed streams, requests that waited in the
+// backlog, and a last check right before sending. It does no I/O and does not read a clock.
 package eligibility
 
 import (
@@ -11,77 +10,77 @@
 	"github.com/barleyshelf/barleyshelf/internal/placement"
 )
 
-// Reason names why a worker may not get a request; the zero value is that it may.
+// Reason is why a request may not be sent to a worker.
 type Reason string
 
 // The reasons.
 const (
-	// Eligible is no reason.
+	// Eligible means that the request may be sent.
 	Eligible Reason = ""
-	// ZoneDrainsUnknown is that this process has not heard which zones are drained.
+	// ZoneDrainsUnknown means that this process does not know yet which zones are drained.
 	ZoneDrainsUnknown Reason = "zone_drains_unknown"
-	// ZoneDrained is that the worker's zone is being drained.
+	// ZoneDrained means that the worker's zone is being drained.
 	ZoneDrained Reason = "zone_drained"
-	// RegionNotPermitted is that what the request says may not rest in the worker's region.
+	// RegionNotPermitted means that the request's data may not be stored in the worker's region.
 	RegionNotPermitted Reason = "region_not_permitted"
 )
 
-// Checker are what a process holds true of places. They are immutable.
+// Checker checks requests against the known zone drains and regions. It is immutable.
 type Checker struct {
-	// DrainsEnabled is set where operators may drain zones; without it none is.
+	// DrainsEnabled is set if operators can drain zones. Otherwise Drains is ignored.
 	DrainsEnabled bool
-	// Drains are the zones that are drained, as last heard.
+	// Drains are the drained zones as last received.
 	Drains directory.ZoneDrains
-	// RegionOf names the region of each zone. A zone that it lacks lies in no region.
+	// RegionOf maps zones to regions. A zone that is missing belongs to no region.
 	RegionOf map[string]string
 }
 
-// Request is what the answer depends on.
+// Request describes the request to check.
 type Request struct {
-	// RegionOf are the only ones in which the request may be served; nil is any.
+	// Regions are the only regions in which the request may be served; nil permits any.
 	Regions []string
 }
 
-// RegionRestricted reports whether the request may not be served everywhere.
+// RegionRestricted reports whether the request may only be served in some regions.
 func (r Request) RegionRestricted() bool { return r.Regions != nil }
 
-// RegionPolicy returns where the request may rest.
-func (b Checker) RegionPolicy(request Request) placement.RegionPolicy {
-	return placement.RegionPolicy{Permitted: request.Regions, RegionOf: b.RegionOf}
+// RegionPolicy returns the policy for the regions of the request.
+func (c Checker) RegionPolicy(request Request) placement.RegionPolicy {
+	return placement.RegionPolicy{Permitted: request.Regions, RegionOf: c.RegionOf}
 }
 
-// Check says why a request may not go to a worker of a zone, or Eligible.
-func (b Checker) Check(zone string, request Request) Reason {
+// Check returns why a request may not be sent to the workers of a zone, or Eligible.
+func (c Checker) Check(zone string, request Request) Reason {
 	switch {
-	case b.DrainsEnabled && !b.Drains.Known():
+	case c.DrainsEnabled && !c.Drains.Known():
 		return ZoneDrainsUnknown
-	case !b.RegionPolicy(request).Permits(zone):
+	case !c.RegionPolicy(request).Permits(zone):
 		return RegionNotPermitted
-	case b.DrainsEnabled && b.Drains.Has(zone):
+	case c.DrainsEnabled && c.Drains.Has(zone):
 		return ZoneDrained
 	}
 	return Eligible
 }
 
-// everywhere reports whether a request may go to the workers of every zone.
-func (b Checker) everywhere(request Request) bool {
-	return !request.RegionRestricted() && (!b.DrainsEnabled || b.Drains.Known() && b.Drains.Count() == 0)
+// allowsAllZones reports whether the request may be sent to the workers of all zones.
+func (c Checker) allowsAllZones(request Request) bool {
+	return !request.RegionRestricted() && (!c.DrainsEnabled || c.Drains.Known() && c.Drains.Count() == 0)
 }
 
-// Filter returns the workers that a request may go to. Where that is all of them it returns
-// the list itself; ineligible counts the others by the reason why the request may not go there.
-func (b Checker) Filter(workers []*directory.WorkerRecord, request Request) (eligible []*directory.WorkerRecord, ineligible map[Reason]int) {
-	if b.everywhere(request) {
+// Filter returns the workers that a request may be sent to, or the same slice if those are all.
+// ineligible counts the other workers by reason.
+func (c Checker) Filter(workers []*directory.WorkerRecord, request Request) (eligible []*directory.WorkerRecord, ineligible map[Reason]int) {
+	if c.allowsAllZones(request) {
 		return workers, nil
 	}
-	first := slices.IndexFunc(workers, func(each *directory.WorkerRecord) bool { return b.Check(each.Zone, request) != Eligible })
+	first := slices.IndexFunc(workers, func(each *directory.WorkerRecord) bool { return c.Check(each.Zone, request) != Eligible })
 	if first < 0 {
 		return workers, nil
 	}
 	ineligible = make(map[Reason]int)
 	eligible = append(make([]*directory.WorkerRecord, 0, len(workers)), workers[:first]...)
 	for _, each := range workers[first:] {
-		if reason := b.Check(each.Zone, request); reason != Eligible {
+		if reason := c.Check(each.Zone, request); reason != Eligible {
 			ineligible[reason]++
 			continue
 		}
--- a/internal/eligibility/eligibility_test.go
+++ b/internal/eligibility/eligibility_test.go
@@ -11,8 +11,8 @@
 	"github.com/barleyshelf/barleyshelf/internal/directory"
 )
 
-// drained returns drained zones as a process that heard of them holds them.
-func drained(zones ...string) directory.ZoneDrains {
+// zoneDrains returns drained zones as a process that has received them stores them.
+func zoneDrains(zones ...string) directory.ZoneDrains {
 	state := directory.NewState(time.Now, nil)
 	state.ReplaceZoneDrains(zones, 1)
 	return state.View().Drains
@@ -21,60 +21,60 @@
 func TestCheck(t *testing.T) {
 	regions := map[string]string{"a": "north", "b": "south"}
 	for name, example := range map[string]struct {
-		beliefs Checker
+		checker Checker
 		zone    string
 		request Request
 		want    Reason
 	}{
-		"nothing is followed":                       {Checker{}, "a", Request{}, Eligible},
-		"drains heard where none are followed":      {Checker{Drains: drained("a")}, "a", Request{}, Eligible},
-		"no list was heard":                         {Checker{DrainsEnabled: true}, "a", Request{}, ZoneDrainsUnknown},
-		"no zone is drained":                        {Checker{DrainsEnabled: true, Drains: drained()}, "a", Request{}, Eligible},
-		"another zone is drained":                   {Checker{DrainsEnabled: true, Drains: drained("b")}, "a", Request{}, Eligible},
-		"the zone is drained":                       {Checker{DrainsEnabled: true, Drains: drained("a")}, "a", Request{}, ZoneDrained},
-		"a worker without a zone":                   {Checker{DrainsEnabled: true, Drains: drained("a")}, "", Request{}, Eligible},
+		"drains are disabled":                       {Checker{}, "a", Request{}, Eligible},
+		"drains are known but disabled":             {Checker{Drains: zoneDrains("a")}, "a", Request{}, Eligible},
+		"drains are unknown":                        {Checker{DrainsEnabled: true}, "a", Request{}, ZoneDrainsUnknown},
+		"no zone is drained":                        {Checker{DrainsEnabled: true, Drains: zoneDrains()}, "a", Request{}, Eligible},
+		"another zone is drained":                   {Checker{DrainsEnabled: true, Drains: zoneDrains("b")}, "a", Request{}, Eligible},
+		"the zone is drained":                       {Checker{DrainsEnabled: true, Drains: zoneDrains("a")}, "a", Request{}, ZoneDrained},
+		"a worker without a zone":                   {Checker{DrainsEnabled: true, Drains: zoneDrains("a")}, "", Request{}, Eligible},
 		"a permitted region":                        {Checker{RegionOf: regions}, "a", Request{Regions: []string{"north"}}, Eligible},
 		"another region":                            {Checker{RegionOf: regions}, "b", Request{Regions: []string{"north"}}, RegionNotPermitted},
 		"a zone of no region":                       {Checker{RegionOf: regions}, "c", Request{Regions: []string{"north"}}, RegionNotPermitted},
 		"no region is permitted":                    {Checker{RegionOf: regions}, "a", Request{Regions: []string{}}, RegionNotPermitted},
-		"drained in a region that is not permitted": {Checker{DrainsEnabled: true, Drains: drained("b"), RegionOf: regions}, "b", Request{Regions: []string{"north"}}, RegionNotPermitted},
-		"unknown, in a permitted region":            {Checker{DrainsEnabled: true, RegionOf: regions}, "a", Request{Regions: []string{"north"}}, ZoneDrainsUnknown},
+		"drained in a region that is not permitted": {Checker{DrainsEnabled: true, Drains: zoneDrains("b"), RegionOf: regions}, "b", Request{Regions: []string{"north"}}, RegionNotPermitted},
+		"unknown drains in a permitted region":      {Checker{DrainsEnabled: true, RegionOf: regions}, "a", Request{Regions: []string{"north"}}, ZoneDrainsUnknown},
 	} {
-		require.Equal(t, example.want, example.beliefs.Check(example.zone, example.request), name)
+		require.Equal(t, example.want, example.checker.Check(example.zone, example.request), name)
 	}
 }
 
-// TestFilterAgreesWithReference compares the choice of workers with one written as the
-// sentence that operators are told.
+// TestFilterAgreesWithReference compares Filter with a direct implementation of the rule that is
+// documented for operators.
 func TestFilterAgreesWithReference(t *testing.T) {
 	zones := []string{"", "a", "b", "c", "d"}
 	regions := map[string]string{"a": "north", "b": "north", "c": "south"}
 	rapid.Check(t, func(t *rapid.T) {
-		known := rapid.Bool().Draw(t, "known")
-		followed := rapid.Bool().Draw(t, "followed")
+		drainsKnown := rapid.Bool().Draw(t, "drains known")
+		drainsEnabled := rapid.Bool().Draw(t, "drains enabled")
 		drains := rapid.SliceOfDistinct(rapid.SampledFrom(zones[1:]), rapid.ID[string]).Draw(t, "drained")
-		beliefs := Checker{DrainsEnabled: followed, RegionOf: regions}
-		if known {
-			beliefs.Drains = drained(drains...)
+		checker := Checker{DrainsEnabled: drainsEnabled, RegionOf: regions}
+		if drainsKnown {
+			checker.Drains = zoneDrains(drains...)
 		}
 		var request Request
-		if rapid.Bool().Draw(t, "confined") {
+		if rapid.Bool().Draw(t, "region restricted") {
 			request.Regions = rapid.SliceOfDistinct(rapid.SampledFrom([]string{"north", "south"}), rapid.ID[string]).Draw(t, "regions")
 		}
 		var workers, want []*directory.WorkerRecord
 		for _, zone := range rapid.SliceOf(rapid.SampledFrom(zones)).Draw(t, "workers") {
 			each := &directory.WorkerRecord{Worker: directory.Worker{Zone: zone, Slots: len(workers)}}
 			workers = append(workers, each)
-			kept := !followed || (known && !slices.Contains(drains, zone))
+			notDrained := !drainsEnabled || (drainsKnown && !slices.Contains(drains, zone))
 			permitted := request.Regions == nil || slices.Contains(request.Regions, regions[zone])
-			if kept && permitted {
+			if notDrained && permitted {
 				want = append(want, each)
 			}
 		}
 		before := slices.Clone(workers)
-		eligible, ineligible := beliefs.Filter(workers, request)
+		eligible, ineligible := checker.Filter(workers, request)
 		require.ElementsMatch(t, want, eligible)
-		require.Equal(t, before, workers, "the list is shared and must stay as it is")
+		require.Equal(t, before, workers, "the shared list must not be modified")
 		count := 0
 		for reason, each := range ineligible {
 			require.NotEqual(t, Eligible, reason)
