--- a/internal/flowcontrol/errors.go
+++ b/internal/flowcontrol/errors.go
@@ -7,13 +7,13 @@
 	"github.com/barleyshelf/barleyshelf/internal/failure"
 )
 
-// comeBackAfter is when a request that found no room may come back: by then a peer that has
-// stopped reading has been given up.
-const comeBackAfter = evictAfter
+// retryAfter is the delay after which a rejected request may be retried. By then, a peer that has
+// stopped reading can be evicted.
+const retryAfter = evictAfter
 
-// BudgetExhausted reports that a process holds all the bytes for slow peers that it may.
+// BudgetExhausted reports that a process has used all the bytes that it may buffer for slow peers.
 type BudgetExhausted struct {
-	// Wanted are the bytes that were asked for, Limit those that may be held.
+	// Wanted is the number of requested bytes, Limit the size of the budget.
 	Wanted int
 	Limit  int64
 }
@@ -28,9 +28,9 @@
 // Outcome returns NotRun.
 func (e *BudgetExhausted) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry says when to come back.
+// Retry allows a retry after retryAfter.
 func (e *BudgetExhausted) Retry() failure.Retry {
-	return failure.Retry{Allowed: true, After: comeBackAfter}
+	return failure.Retry{Allowed: true, After: retryAfter}
 }
 
 // ReadAheadStopped reports a read from a ReadAhead that was stopped.
@@ -44,26 +44,25 @@
 // Outcome returns OutcomeUnknown.
 func (e *ReadAheadStopped) Outcome() failure.Outcome { return failure.OutcomeUnknown }
 
-// Retry forbids a repeat.
+// Retry forbids a retry.
 func (e *ReadAheadStopped) Retry() failure.Retry { return failure.Retry{} }
 
-// PeerStalled reports a peer that took nothing of what it was sent for too long, or that was
-// given up for others.
+// PeerStalled reports a peer that did not read its data for too long, or that was evicted.
 type PeerStalled struct {
-	// Cause is why it was cut off.
+	// Cause is why the peer was disconnected.
 	Cause StallCause
-	// Timeout bounds how long it had to take the next bytes.
+	// Timeout is how long the peer had to read the next bytes.
 	Timeout time.Duration
 }
 
-// StallCause names why a peer that reads slowly was cut off.
+// StallCause is why a slow peer was disconnected.
 type StallCause string
 
 // The causes.
 const (
-	// NoProgress is that it took nothing for the longest time allowed.
+	// NoProgress means that the peer read nothing until the timeout.
 	NoProgress StallCause = "took_nothing"
-	// Evicted is that others needed the room.
+	// Evicted means that its bytes were needed for other peers.
 	Evicted StallCause = "evicted"
 )
 
@@ -77,5 +76,5 @@
 // Outcome returns OutcomeUnknown.
 func (e *PeerStalled) Outcome() failure.Outcome { return failure.OutcomeUnknown }
 
-// Retry forbids a repeat.
+// Retry forbids a retry.
 func (e *PeerStalled) Retry() failure.Retry { return failure.Retry{} }
--- a/internal/flowcontrol/readahead.go
+++ b/internal/flowcontrol/readahead.go
@@ -8,92 +8,98 @@
 )
 
 const (
-	// aheadChunk is how much is read ahead at a time.
-	aheadChunk = 8 << 10
-	// aheadPoll is how often it is looked for room again where all of it is held for others.
-	aheadPoll = 20 * time.Millisecond
+	// readAheadChunkBytes is the number of bytes that are read ahead at a time.
+	readAheadChunkBytes = 8 << 10
+	// capacityPollInterval is how often the budget is checked while it has no capacity.
+	capacityPollInterval = 20 * time.Millisecond
 )
 
-// ReadAhead passes reads through to a reader until Begin is called, and from then on takes bytes
-// off it ahead of the reads, up to a bound: the sender is not kept waiting by whom the bytes are
-// for. At the bound, or where the account has no room, the sender waits. It serves one reader.
+// ReadAhead passes reads through to a reader until Start is called. From then on it reads from the
+// source ahead of the reads, up to a limit, so a slow consumer does not block the sender. The
+// sender is blocked at the limit or while the budget has no capacity. It supports a single reader.
 type ReadAhead struct {
-	from   io.Reader
-	bounds BufferLimits
-	holder *Reservation
+	source      io.Reader
+	limits      BufferLimits
+	reservation *Reservation
 
 	mutex   sync.Mutex
 	changed *sync.Cond
-	// reading is set while a read passes through.
-	reading bool
-	begun   bool
-	stopped bool
-	// filled is closed when no more is read ahead; nil before Begin.
-	filled chan struct{}
-	chunks [][]byte
-	held   int
-	err    error
-	course ReadAheadStats
+	// passingThrough is set during a read that is passed through.
+	passingThrough bool
+	started        bool
+	stopped        bool
+	// fillDone is closed when the fill goroutine has ended; nil before Start.
+	fillDone chan struct{}
+	chunks   [][]byte
+	buffered int
+	err      error
+	stats    ReadAheadStats
 }
 
-// Stats is how a read-ahead went, for logs.
+// ReadAheadStats describes the course of a read-ahead, for logs.
 type ReadAheadStats struct {
-	// StartedAt and Ended are when it began and when its reader ended; zero until then.
+	// StartedAt is when the read-ahead started, EndedAt when its source ended. They are zero until
+	// then.
 	StartedAt, EndedAt time.Time
-	// LastReadAt is when bytes came last, CapacityWait for how long it waited, before reads, for what it
-	// may hold.
+	// LastReadAt is when bytes were last read from the source. CapacityWait is how long reads were
+	// delayed for lack of capacity.
 	LastReadAt   time.Time
 	CapacityWait time.Duration
-	// BytesRead is how many bytes it took off the reader, Most how many it held at once.
+	// BytesRead is the number of bytes read from the source, MaxBuffered the maximum number of
+	// bytes buffered at a time.
 	BytesRead, MaxBuffered int
 }
 
-// Stats returns how the read-ahead has gone so far.
+// Stats returns the statistics so far.
 func (r *ReadAhead) Stats() ReadAheadStats {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.course
+	return r.stats
 }
 
-// BufferLimits are how many bytes one answer may hold.
+// BufferLimits are the limits on the bytes buffered for one response.
 type BufferLimits struct {
-	// Base holds while the account has room, Most while no more than half of it is taken: a
-	// few long answers are held whole, and many share what there is.
+	// Base is the limit while the budget has capacity. Max is the limit while at most half of the
+	// budget is in use. A few long responses can thus be buffered completely, while many responses
+	// share the budget.
 	Base, Max int
 }
 
-// NewReadAhead returns a reader from another one, which holds bytes within bounds in a holder.
-func NewReadAhead(from io.Reader, bounds BufferLimits, holder *Reservation) *ReadAhead {
-	ahead := &ReadAhead{from: from, bounds: bounds, holder: holder}
+// NewReadAhead returns a reader that buffers bytes of source within the limits, using a
+// reservation.
+func NewReadAhead(source io.Reader, limits BufferLimits, reservation *Reservation) *ReadAhead {
+	ahead := &ReadAhead{source: source, limits: limits, reservation: reservation}
 	ahead.changed = sync.NewCond(&ahead.mutex)
 	return ahead
 }
 
-// Start begins to read ahead, unless a read is under way: then nothing is kept waiting.
+// Start starts to read ahead, unless a read is in progress, in which case the sender is not
+// blocked.
 func (r *ReadAhead) Start() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.begun || r.reading || r.stopped {
+	if r.started || r.passingThrough || r.stopped {
 		return
 	}
-	r.begun = true
-	r.course.StartedAt = time.Now()
-	r.filled = make(chan struct{})
+	r.started = true
+	r.stats.StartedAt = time.Now()
+	r.fillDone = make(chan struct{})
 	go r.fill()
 }
 
-// BytesRead returns what was read ahead, then what comes, then the error that the reader ended with.
+// Read returns buffered bytes, then bytes as they arrive, then the error that the source ended
+// with.
 func (r *ReadAhead) Read(data []byte) (int, error) {
-	if r.passThrough() {
-		defer r.passedThrough()
-		return r.from.Read(data)
+	if r.beginPassThrough() {
+		defer r.endPassThrough()
+		return r.source.Read(data)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for r.held == 0 && r.err == nil {
+	for r.buffered == 0 && r.err == nil {
 		r.changed.Wait()
 	}
-	if r.held == 0 {
+	if r.buffered == 0 {
 		return 0, r.err
 	}
 	count := copy(data, r.chunks[0])
@@ -101,66 +107,66 @@
 	if len(r.chunks[0]) == 0 {
 		r.chunks = r.chunks[1:]
 	}
-	r.held -= count
-	r.holder.Release(count)
+	r.buffered -= count
+	r.reservation.Release(count)
 	r.changed.Broadcast()
 	return count, nil
 }
 
-// passThrough reports whether a read goes to the reader itself, and notes it.
-func (r *ReadAhead) passThrough() bool {
+// beginPassThrough reports whether a read is passed through, and marks it as in progress.
+func (r *ReadAhead) beginPassThrough() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.reading = !r.begun
-	return r.reading
+	r.passingThrough = !r.started
+	return r.passingThrough
 }
 
-func (r *ReadAhead) passedThrough() {
+func (r *ReadAhead) endPassThrough() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.reading = false
+	r.passingThrough = false
 }
 
-// Stop ends the read-ahead. wake must make a read that is under way return; it is called only if
-// one is. What was read ahead and not read is given up.
-func (r *ReadAhead) Stop(wake func()) {
+// Stop ends the read-ahead and discards the buffered bytes. unblock must make a read from the
+// source that is in progress return; it is only called if the source has not ended.
+func (r *ReadAhead) Stop(unblock func()) {
 	r.mutex.Lock()
 	r.stopped = true
-	begun, ended := r.begun, r.err != nil
+	started, ended := r.started, r.err != nil
 	r.changed.Broadcast()
 	r.mutex.Unlock()
-	if !begun {
+	if !started {
 		return
 	}
 	if !ended {
-		wake()
+		unblock()
 	}
-	<-r.filled
+	<-r.fillDone
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.holder.Release(r.held)
-	r.chunks, r.held = nil, 0
+	r.reservation.Release(r.buffered)
+	r.chunks, r.buffered = nil, 0
 }
 
-// fill reads ahead until the reader ends or Stop is called.
+// fill reads ahead until the source ends or Stop is called.
 func (r *ReadAhead) fill() {
-	defer close(r.filled)
-	chunk := make([]byte, aheadChunk)
-	for began := time.Now(); r.awaitRoom(); began = time.Now() {
-		waited := time.Since(began)
-		count, err := r.from.Read(chunk)
-		r.holder.Release(aheadChunk - count)
+	defer close(r.fillDone)
+	chunk := make([]byte, readAheadChunkBytes)
+	for waitStart := time.Now(); r.awaitCapacity(); waitStart = time.Now() {
+		waited := time.Since(waitStart)
+		count, err := r.source.Read(chunk)
+		r.reservation.Release(readAheadChunkBytes - count)
 		r.mutex.Lock()
-		r.course.CapacityWait += waited
+		r.stats.CapacityWait += waited
 		if count > 0 {
-			r.course.LastReadAt = time.Now()
+			r.stats.LastReadAt = time.Now()
 			r.chunks = append(r.chunks, bytes.Clone(chunk[:count]))
-			r.held += count
-			r.course.BytesRead += count
-			r.course.MaxBuffered = max(r.course.MaxBuffered, r.held)
+			r.buffered += count
+			r.stats.BytesRead += count
+			r.stats.MaxBuffered = max(r.stats.MaxBuffered, r.buffered)
 		}
 		if err != nil {
-			r.course.EndedAt = time.Now()
+			r.stats.EndedAt = time.Now()
 		}
 		r.err = err
 		r.changed.Broadcast()
@@ -175,24 +181,25 @@
 	r.changed.Broadcast()
 }
 
-// awaitRoom waits for room for one more chunk and takes it; false is that Stop was called.
-func (r *ReadAhead) awaitRoom() bool {
+// awaitCapacity waits for the capacity for one chunk and acquires it. It returns false if Stop was
+// called.
+func (r *ReadAhead) awaitCapacity() bool {
 	for {
 		r.mutex.Lock()
-		for r.held+aheadChunk > r.bounds.Max && !r.stopped {
+		for r.buffered+readAheadChunkBytes > r.limits.Max && !r.stopped {
 			r.changed.Wait()
 		}
-		stopped, next := r.stopped, r.held+aheadChunk
+		stopped, next := r.stopped, r.buffered+readAheadChunkBytes
 		r.mutex.Unlock()
 		if stopped {
 			return false
 		}
-		if next <= r.bounds.Base || r.holder.account.spare() {
-			if r.holder.TryAcquire(aheadChunk) {
+		if next <= r.limits.Base || r.reservation.budget.atMostHalfUsed() {
+			if r.reservation.TryAcquire(readAheadChunkBytes) {
 				return true
 			}
-			r.holder.account.evict(aheadChunk)
+			r.reservation.budget.evict(readAheadChunkBytes)
 		}
-		time.Sleep(aheadPoll)
+		time.Sleep(capacityPollInterval)
 	}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -21,8 +21,7 @@
 	require.Equal(t, uint64(3), table.Version())
 }
 
-// TestMatchAgreesWithLinearSearch compares the table with a search through all
-// routes.
+// TestMatchAgreesWithLinearSearch compares the table with a search through all routes.
 func TestMatchAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		segment := rapid.SampledFrom([]string{"a", "b", "ab"})
@@ -42,8 +41,8 @@
 		wantedHost, path := host.Draw(t, "request host"), prefix.Draw(t, "path")
 		var want *Route
 		for i, declared := range configuration.Routes {
-			fits := declared.Host == wantedHost && strings.HasPrefix(path, declared.Prefix)
-			if fits && (want == nil || len(declared.Prefix) > len(want.Prefix)) {
+			matches := declared.Host == wantedHost && strings.HasPrefix(path, declared.Prefix)
+			if matches && (want == nil || len(declared.Prefix) > len(want.Prefix)) {
 				want = &configuration.Routes[i]
 			}
 		}
@@ -51,7 +50,7 @@
 	})
 }
 
-// TestSplitterKeepsShares holds for any weights and any moment.
+// TestSplitterKeepsShares checks the shares after each request for random weights.
 func TestSplitterKeepsShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 100), 1, 4).Draw(t, "weights")
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Table finds routes of one configuration. It is immutable.
+// Table finds the routes, services and tenants of one configuration. It is immutable.
 type Table struct {
 	configuration *Configuration
 	byHost        map[string][]*Route
@@ -15,7 +15,7 @@
 	tenants       tenantIndex
 }
 
-// NewTable indexes a configuration, which must not be changed afterwards.
+// NewTable indexes a configuration, which must not be modified afterwards.
 func NewTable(configuration *Configuration) *Table {
 	table := &Table{
 		configuration: configuration,
@@ -25,7 +25,7 @@
 	}
 	for i := range configuration.Routes {
 		route := &configuration.Routes[i]
-		host := normalHost(route.Host)
+		host := normalizeHost(route.Host)
 		table.byHost[host] = append(table.byHost[host], route)
 		table.byName[route.Name] = route
 	}
@@ -38,14 +38,13 @@
 // Version returns the configuration's version.
 func (t *Table) Version() uint64 { return t.configuration.Version }
 
-// Configuration returns what the table was made from.
+// Configuration returns the indexed configuration.
 func (t *Table) Configuration() *Configuration { return t.configuration }
 
-// Limits returns the limits on what clients send.
+// Limits returns the limits on what clients may send.
 func (t *Table) Limits() Limits { return t.configuration.Limits }
 
-// Service returns a declared service; a service that is not declared has no
-// limits.
+// Service returns a declared service. A service that is not declared has no limits.
 func (t *Table) Service(name string) Service {
 	service, found := t.configuration.Services[name]
 	if !found {
@@ -57,19 +56,18 @@
 // RequiresKeys reports whether requests need a key, except on public routes.
 func (t *Table) RequiresKeys() bool { return len(t.configuration.Tenants) > 0 }
 
-// RestrictsRegions reports whether any route or tenant may be served in some regions alone.
+// RestrictsRegions reports whether any route or tenant is restricted to some regions.
 func (t *Table) RestrictsRegions() bool {
 	return slices.ContainsFunc(t.configuration.Routes, func(route Route) bool { return len(route.Regions) > 0 }) ||
 		slices.ContainsFunc(t.configuration.Tenants, func(tenant Tenant) bool { return len(tenant.Regions) > 0 })
 }
 
-// Tenant returns the tenant that holds a key, or nil.
+// Tenant returns the tenant that owns a key, or nil.
 func (t *Table) Tenant(key KeyHash) *Tenant { return t.tenants.find(key) }
 
-// Match returns the route of the host whose prefix is the longest that begins
-// the path, or nil.
+// Match returns the route of the host with the longest prefix that matches the path, or nil.
 func (t *Table) Match(host, path string) *Route {
-	for _, route := range t.byHost[normalHost(host)] {
+	for _, route := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -77,7 +75,7 @@
 	return nil
 }
 
-func normalHost(host string) string {
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
--- a/internal/route/tenant_test.go
+++ b/internal/route/tenant_test.go
@@ -18,18 +18,18 @@
 	document, err := json.Marshal(configuration)
 	require.NoError(t, err)
 	require.NotContains(t, string(document), key)
-	passedOn := &Configuration{}
-	require.NoError(t, json.Unmarshal(document, passedOn))
-	require.Equal(t, configuration, passedOn)
-	require.Equal(t, "north", NewTable(passedOn).Tenant(HashKey(key)).Name)
+	decoded := &Configuration{}
+	require.NoError(t, json.Unmarshal(document, decoded))
+	require.Equal(t, configuration, decoded)
+	require.Equal(t, "north", NewTable(decoded).Tenant(HashKey(key)).Name)
 }
 
 func TestInvalidKeyHashIsRejectedWithoutRepeatingIt(t *testing.T) {
 	for _, text := range []string{"", "secret", strings.Repeat("zz", 32), strings.Repeat("ab", 33)} {
 		var hash KeyHash
 		err := hash.UnmarshalText([]byte(text))
-		var bad *InvalidKeyHash
-		require.ErrorAs(t, err, &bad)
+		var invalid *InvalidKeyHash
+		require.ErrorAs(t, err, &invalid)
 		if text != "" {
 			require.NotContains(t, err.Error(), text)
 		}
@@ -39,10 +39,10 @@
 // TestTenantAgreesWithLinearSearch compares the index with a search through all keys.
 func TestTenantAgreesWithLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		// Hashes that begin alike share a place of the index.
-		hash := rapid.Custom(func(t *rapid.T) (made KeyHash) {
-			made[0], made[31] = rapid.ByteRange(0, 1).Draw(t, "begin"), rapid.ByteRange(0, 3).Draw(t, "end")
-			return made
+		// Hashes with the same prefix share an entry of the index.
+		hash := rapid.Custom(func(t *rapid.T) (result KeyHash) {
+			result[0], result[31] = rapid.ByteRange(0, 1).Draw(t, "begin"), rapid.ByteRange(0, 3).Draw(t, "end")
+			return result
 		})
 		configuration := &Configuration{}
 		owners := make(map[KeyHash]string)
@@ -68,11 +68,11 @@
 }
 
 func TestTenantPriorityPrecedesRoutePriority(t *testing.T) {
-	urgent, later := &Route{Priority: 0}, &Route{Priority: 1}
+	urgent, lessUrgent := &Route{Priority: 0}, &Route{Priority: 1}
 	first, second := 0, 1
-	ahead, behind, unranked := &Tenant{Priority: &first}, &Tenant{Priority: &second}, &Tenant{}
-	require.Less(t, PriorityRank(later, ahead), PriorityRank(urgent, behind))
-	require.Less(t, PriorityRank(urgent, ahead), PriorityRank(later, ahead), "within a tenant the more urgent route stays first")
-	require.Less(t, PriorityRank(urgent, unranked), PriorityRank(later, unranked))
+	urgentTenant, lessUrgentTenant, unranked := &Tenant{Priority: &first}, &Tenant{Priority: &second}, &Tenant{}
+	require.Less(t, PriorityRank(lessUrgent, urgentTenant), PriorityRank(urgent, lessUrgentTenant))
+	require.Less(t, PriorityRank(urgent, urgentTenant), PriorityRank(lessUrgent, urgentTenant), "within a tenant the more urgent route must come first")
+	require.Less(t, PriorityRank(urgent, unranked), PriorityRank(lessUrgent, unranked))
 	require.Equal(t, PriorityRank(urgent, nil), PriorityRank(urgent, unranked))
 }
--- a/internal/worker/connected_test.go
+++ b/internal/worker/connected_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOnConnectedIsCalledForNewConnections holds that a request on a kept connection tells none.
+// Requests on reused connections must not call OnConnected.
 func TestOnConnectedIsCalledForNewConnections(t *testing.T) {
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
@@ -20,22 +20,22 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(connection, answer(body, "ok", ""))
+			io.WriteString(connection, encodeResponse(body, "ok", ""))
 		}
 	})
 	pool := newPool()
-	var told []time.Duration
+	var durations []time.Duration
 	for range 3 {
 		request := &Request{
 			ID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte("r"),
-			OnConnected: func(took time.Duration) { told = append(told, took) },
+			OnConnected: func(took time.Duration) { durations = append(durations, took) },
 		}
-		got, err := pool.Send(context.Background(), address, 0, request, readHead)
+		response, err := pool.Send(context.Background(), address, 0, request, readMetadata)
 		require.NoError(t, err)
-		_, err = io.ReadAll(got.Body)
+		_, err = io.ReadAll(response.Body)
 		require.NoError(t, err)
-		got.Close()
+		response.Close()
 	}
-	require.Len(t, told, 1)
-	require.Positive(t, told[0])
+	require.Len(t, durations, 1)
+	require.Positive(t, durations[0])
 }
--- a/internal/worker/errors.go
+++ b/internal/worker/errors.go
@@ -6,9 +6,9 @@
 	"github.com/barleyshelf/barleyshelf/internal/failure"
 )
 
-// NotSent reports an attempt of which no byte reached the worker.
+// NotSent reports an attempt that sent no byte to the worker.
 type NotSent struct {
-	// Cause is what kept it back.
+	// Cause is why nothing was sent.
 	Cause error
 }
 
@@ -20,18 +20,18 @@
 // Outcome returns NotRun.
 func (e *NotSent) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry allows another worker at once.
+// Retry allows an immediate retry at another worker.
 func (e *NotSent) Retry() failure.Retry { return failure.Retry{Allowed: true} }
 
 // Unwrap returns the cause.
 func (e *NotSent) Unwrap() error { return e.Cause }
 
-// ResponseLost reports an attempt that was sent and got no whole answer head: it may
-// have run.
+// ResponseLost reports an attempt that was sent but got no complete response header. The worker may
+// have run it.
 type ResponseLost struct {
-	// Cause is how the connection ended.
+	// Cause is why the connection ended.
 	Cause error
-	// BodyUnread is set where the worker had not read the whole body by then.
+	// BodyUnread is set if the worker had not read the whole body by then.
 	BodyUnread bool
 }
 
@@ -43,16 +43,16 @@
 // Outcome returns OutcomeUnknown.
 func (e *ResponseLost) Outcome() failure.Outcome { return failure.OutcomeUnknown }
 
-// Retry forbids a repeat: the caller knows what may run twice.
+// Retry forbids an automatic retry, because only the caller knows which requests may run twice.
 func (e *ResponseLost) Retry() failure.Retry { return failure.Retry{} }
 
 // Unwrap returns the cause.
 func (e *ResponseLost) Unwrap() error { return e.Cause }
 
-// TooManyConnections reports that a worker has as many connections from this
-// process as it may.
+// TooManyConnections reports that this process already has the maximum number of connections to a
+// worker.
 type TooManyConnections struct {
-	// Worker is the address, Limit the bound.
+	// Worker is the address of the worker, Limit the maximum number of connections.
 	Worker string
 	Limit  int
 }
@@ -67,12 +67,12 @@
 // Outcome returns NotRun.
 func (e *TooManyConnections) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry allows another worker at once.
+// Retry allows an immediate retry at another worker.
 func (e *TooManyConnections) Retry() failure.Retry { return failure.Retry{Allowed: true} }
 
-// MismatchedResponse reports an answer that does not name the request.
+// MismatchedResponse reports a response that does not contain the ID of the request.
 type MismatchedResponse struct {
-	// Want and Have are request ids.
+	// Want and Have are the expected and the received request ID.
 	Want, Have string
 }
 
@@ -86,5 +86,5 @@
 // Outcome returns OutcomeUnknown.
 func (e *MismatchedResponse) Outcome() failure.Outcome { return failure.OutcomeUnknown }
 
-// Retry forbids a repeat.
+// Retry forbids a retry.
 func (e *MismatchedResponse) Retry() failure.Retry { return failure.Retry{} }
--- a/internal/worker/exchange.go
+++ b/internal/worker/exchange.go
@@ -14,117 +14,116 @@
 )
 
 const (
-	// inlineBodyBytes is the size up to which a body is written before the
-	// answer is read. A worker may answer a longer one before it has read it.
-	inlineBodyBytes = 16 << 10
-	// longBodyUserTimeout is how long a worker may read nothing of a body that is longer than
-	// inlineBodyBytes. The system cannot tell one that pauses from one that is gone, and a
-	// request that was cut off may not be sent again.
+	// maxInlineBodyBytes is the maximum size of a body that is written before the response is read.
+	// A worker may respond to a longer one before it has read all of it.
+	maxInlineBodyBytes = 16 << 10
+	// longBodyUserTimeout is how long data of a body longer than maxInlineBodyBytes may stay
+	// unacknowledged. The operating system cannot distinguish a worker that pauses reading from one
+	// that is gone, and an interrupted request may not be sent again.
 	longBodyUserTimeout = 3 * time.Second
-	// surplusBytes bounds the surplus answer that is skipped before the own one.
-	surplusBytes = 256 << 10
-	// maxSurplus is how many surplus answers are skipped.
-	maxSurplus = 3
+	// maxStaleResponseBytes is the maximum size of a stale response that is skipped.
+	maxStaleResponseBytes = 256 << 10
+	// maxStaleResponses is the maximum number of stale responses that are skipped.
+	maxStaleResponses = 3
 )
 
-// Request is what is sent to a worker.
+// Request is a request to a worker.
 type Request struct {
-	// ID is echoed by the answer.
+	// ID is echoed by the response.
 	ID     string
 	Method string
-	// Incarnation names the life of the worker that the request is for; only connections that were
-	// opened to it are used.
+	// Incarnation is the incarnation of the worker that the request is for. Only connections that
+	// were opened to this incarnation are used.
 	Incarnation string
-	// Target is the path and query as the client sent them.
+	// Target is the path and query as sent by the client.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// SilenceTimeout is how long the answer may take to begin before the worker's idle
-	// connections are taken to have fallen silent; 0 watches nothing.
+	// SilenceTimeout is how long the response on a reused connection may take to begin before the
+	// idle connections to the worker are assumed to be dead and closed. 0 disables the check.
 	SilenceTimeout time.Duration
-	// OnConnected is told how long opening a new connection took, about a round trip; nil is
-	// told nothing.
+	// OnConnected, if not nil, is called with the time that opening a new connection took, about
+	// one round trip.
 	OnConnected func(took time.Duration)
-	// BeforeSend, if not nil, is asked once a connection is open, as opening one may take long,
-	// and right before the request is written. Where it fails nothing is sent.
+	// BeforeSend, if not nil, is called right before the request is written, after a connection has
+	// been opened, which may take long. If it fails, nothing is sent.
 	BeforeSend func(ctx context.Context) error
 }
 
-// ResponseMetadata tells what the head of an answer says in the product's terms.
+// ResponseMetadata is the part of a response header that this project interprets.
 type ResponseMetadata struct {
-	// RequestID is the request that the answer names.
+	// RequestID is the ID of the request that the response belongs to.
 	RequestID string
-	// NotRun is the worker's word that it did not run the request.
+	// NotRun is set if the worker states that it did not run the request.
 	NotRun bool
-	// ColdReported is set where the worker tells for how long it bears few requests, ColdRemaining
-	// that time; 0 is not at all.
+	// ColdReported is set if the worker reports how much longer it is cold, that is, accepts only a
+	// few requests per second. ColdRemaining is that time; 0 means that it is not cold.
 	ColdReported  bool
 	ColdRemaining time.Duration
 }
 
-// ReadMetadata reads the head of an answer; the platform's adapter implements it.
+// ReadMetadata parses the header of a response. It is implemented by the platform's adapter.
 type ReadMetadata func(status int, header http.Header) ResponseMetadata
 
-// Response is a worker's answer. Body ends with io.EOF only if the answer is
-// whole. Close must be called; it keeps the connection if all was read.
+// Response is a worker's response. Body ends with io.EOF only if the response is complete. Close
+// must be called; it keeps the connection if everything was read.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	// NotRun is the worker's word that it did not run the request.
+	// NotRun is set if the worker states that it did not run the request.
 	NotRun bool
-	// Metadata is what the head says.
+	// Metadata is the interpreted part of the header.
 	Metadata ResponseMetadata
 
-	pool     *Pool
-	used     *connection
-	response *http.Response
-	whole    *wholeReader
-	written  <-chan error
-	stop     func() bool
+	pool         *Pool
+	connection   *connection
+	httpResponse *http.Response
+	body         *completionReader
+	written      <-chan error
+	stopCancel   func() bool
 }
 
-// Send sends a request once and returns the answer's head. Its errors are
-// *NotSent and *Lost. When ctx ends, the connection is closed, which cancels
-// the request at the worker.
-func (p *Pool) Send(ctx context.Context, address string, limit int, request *Request, readHead ReadMetadata) (*Response, error) {
-	used, err := p.get(ctx, address, request.Incarnation, limit)
+// Send sends a request once and returns the header of the response. Its errors are *NotSent and
+// *ResponseLost. When ctx ends, the connection is closed, which cancels the request at the worker.
+func (p *Pool) Send(ctx context.Context, address string, limit int, request *Request, readMetadata ReadMetadata) (*Response, error) {
+	connection, err := p.acquire(ctx, address, request.Incarnation, limit)
 	if err != nil {
 		return nil, &NotSent{Cause: err}
 	}
-	if request.OnConnected != nil && !used.kept {
-		request.OnConnected(used.dialed)
+	if request.OnConnected != nil && !connection.reused {
+		request.OnConnected(connection.dialDuration)
 	}
 	if request.BeforeSend != nil {
 		if err := request.BeforeSend(ctx); err != nil {
-			p.putBack(used)
+			p.returnUnused(connection)
 			return nil, &NotSent{Cause: err}
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { used.SetDeadline(time.Unix(1, 0)) })
-	if request.SilenceTimeout > 0 && used.kept {
-		began := time.Now()
-		watch := time.AfterFunc(request.SilenceTimeout, func() { p.suspect(address, began) })
-		defer watch.Stop()
+	stopCancel := context.AfterFunc(ctx, func() { connection.SetDeadline(time.Unix(1, 0)) })
+	if request.SilenceTimeout > 0 && connection.reused {
+		startedAt := time.Now()
+		silenceTimer := time.AfterFunc(request.SilenceTimeout, func() { p.closeIdleIfSilent(address, startedAt) })
+		defer silenceTimer.Stop()
 	}
 	outgoing := request.http()
-	written, sent := used.write(outgoing, len(request.Body))
-	answer, err := used.read(request, outgoing, readHead)
+	written, sent := connection.write(outgoing, len(request.Body))
+	response, err := connection.read(request, outgoing, readMetadata)
 	if err != nil {
-		stop()
-		p.discard(used)
+		stopCancel()
+		p.discard(connection)
 		if ctx.Err() == nil {
-			p.lost(used)
+			p.recordLoss(connection)
 		}
 		if !sent() {
 			return nil, &NotSent{Cause: err}
 		}
-		return nil, &ResponseLost{Cause: err, BodyUnread: !writtenWhole(written)}
+		return nil, &ResponseLost{Cause: err, BodyUnread: !writeSucceeded(written)}
 	}
-	p.answered(address)
-	answer.pool, answer.written, answer.stop = p, written, stop
-	return answer, nil
+	p.recordResponse(address)
+	response.pool, response.written, response.stopCancel = p, written, stopCancel
+	return response, nil
 }
 
 func (r *Request) http() *http.Request {
@@ -140,39 +139,39 @@
 	return outgoing
 }
 
-// writers are buffers to write requests with.
-var writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, inlineBodyBytes) }}
+// writerPool contains buffers for writing requests.
+var writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, maxInlineBodyBytes) }}
 
-// countingWriter counts what the kernel took.
+// countingWriter counts the bytes that were passed to the kernel.
 type countingWriter struct {
-	to    io.Writer
-	count int
+	writer io.Writer
+	count  int
 }
 
 func (w *countingWriter) Write(data []byte) (int, error) {
-	n, err := w.to.Write(data)
+	n, err := w.writer.Write(data)
 	w.count += n
 	return n, err
 }
 
-// write sends the request; a long one in the background. sent reports, once
-// the connection is closed, whether any byte may have left.
+// write sends the request, in the background if the body is long. sent reports, after the
+// connection has been closed, whether any byte may have reached the worker.
 func (c *connection) write(outgoing *http.Request, bodyBytes int) (written <-chan error, sent func() bool) {
-	counting := &countingWriter{to: c.Conn}
+	counting := &countingWriter{writer: c.Conn}
 	result := make(chan error, 1)
 	send := func() {
-		buffered := writers.Get().(*bufio.Writer)
+		buffered := writerPool.Get().(*bufio.Writer)
 		buffered.Reset(counting)
 		err := outgoing.Write(buffered)
 		if err == nil {
 			err = buffered.Flush()
 		}
 		buffered.Reset(nil)
-		writers.Put(buffered)
+		writerPool.Put(buffered)
 		result <- err
 	}
-	if bodyBytes > inlineBodyBytes {
-		c.beginLongBody()
+	if bodyBytes > maxInlineBodyBytes {
+		c.raiseUserTimeout()
 		go send()
 		return result, func() bool { return true }
 	}
@@ -180,51 +179,52 @@
 	return result, func() bool { return counting.count > 0 }
 }
 
-// beginLongBody gives the worker more time to read what is sent, until endLongBody.
-func (c *connection) beginLongBody() {
+// raiseUserTimeout gives the worker more time to read a long body, until restoreUserTimeout is
+// called.
+func (c *connection) raiseUserTimeout() {
 	if c.userTimeout > 0 && c.userTimeout < longBodyUserTimeout {
-		c.longBody = true
+		c.userTimeoutRaised = true
 		transport.SetUserTimeout(c.Conn, longBodyUserTimeout)
 	}
 }
 
-// endLongBody takes beginLongBody back.
-func (c *connection) endLongBody() {
-	if c.longBody {
-		c.longBody = false
+// restoreUserTimeout restores the timeout that applied before raiseUserTimeout.
+func (c *connection) restoreUserTimeout() {
+	if c.userTimeoutRaised {
+		c.userTimeoutRaised = false
 		transport.SetUserTimeout(c.Conn, c.userTimeout)
 	}
 }
 
-// read returns the answer that names the request. Surplus answers to earlier
-// requests are skipped.
-func (c *connection) read(request *Request, outgoing *http.Request, readHead ReadMetadata) (*Response, error) {
-	for surplus := 0; ; surplus++ {
-		response, err := c.readFinal(outgoing)
+// read returns the response with the ID of the request and skips stale responses to earlier
+// requests.
+func (c *connection) read(request *Request, outgoing *http.Request, readMetadata ReadMetadata) (*Response, error) {
+	for staleResponses := 0; ; staleResponses++ {
+		response, err := c.readFinalResponse(outgoing)
 		if err != nil {
 			return nil, err
 		}
-		head := readHead(response.StatusCode, response.Header)
-		if head.RequestID == request.ID || (head.NotRun && head.RequestID == "") {
-			whole := &wholeReader{from: response.Body}
+		metadata := readMetadata(response.StatusCode, response.Header)
+		if metadata.RequestID == request.ID || (metadata.NotRun && metadata.RequestID == "") {
+			body := &completionReader{source: response.Body}
 			return &Response{
-				Status: response.StatusCode, Header: response.Header, Body: whole, NotRun: head.NotRun, Metadata: head,
-				used: c, response: response, whole: whole,
+				Status: response.StatusCode, Header: response.Header, Body: body, NotRun: metadata.NotRun, Metadata: metadata,
+				connection: c, httpResponse: response, body: body,
 			}, nil
 		}
-		foreign := &MismatchedResponse{Want: request.ID, Have: head.RequestID}
-		if surplus >= maxSurplus || response.Close {
-			return nil, foreign
+		mismatch := &MismatchedResponse{Want: request.ID, Have: metadata.RequestID}
+		if staleResponses >= maxStaleResponses || response.Close {
+			return nil, mismatch
 		}
-		skipped, err := io.Copy(io.Discard, io.LimitReader(response.Body, surplusBytes))
-		if err != nil || skipped == surplusBytes {
-			return nil, foreign
+		skipped, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStaleResponseBytes))
+		if err != nil || skipped == maxStaleResponseBytes {
+			return nil, mismatch
 		}
 	}
 }
 
-// readFinal skips interim answers.
-func (c *connection) readFinal(outgoing *http.Request) (*http.Response, error) {
+// readFinalResponse reads a response and skips interim (1xx) ones.
+func (c *connection) readFinalResponse(outgoing *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(c.reader, outgoing)
 		if err != nil {
@@ -236,34 +236,34 @@
 	}
 }
 
-// wholeReader notes whether the body came to its proper end.
-type wholeReader struct {
-	from io.Reader
-	done bool
+// completionReader records whether the body was read to its end.
+type completionReader struct {
+	source   io.Reader
+	complete bool
 }
 
-func (r *wholeReader) Read(data []byte) (int, error) {
-	n, err := r.from.Read(data)
+func (r *completionReader) Read(data []byte) (int, error) {
+	n, err := r.source.Read(data)
 	if err == io.EOF {
-		r.done = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept if the request was written
-// and the answer read whole, and the worker keeps it too.
-func (a *Response) Close() {
-	undisturbed := a.stop()
-	if !undisturbed || !a.whole.done || a.response.Close || !writtenWhole(a.written) {
-		a.pool.discard(a.used)
+// Close ends the exchange. The connection is kept if the request was completely written, the
+// response completely read and the worker keeps it open too.
+func (r *Response) Close() {
+	notCanceled := r.stopCancel()
+	if !notCanceled || !r.body.complete || r.httpResponse.Close || !writeSucceeded(r.written) {
+		r.pool.discard(r.connection)
 		return
 	}
-	a.used.endLongBody()
-	a.pool.put(a.used, a.Header)
+	r.connection.restoreUserTimeout()
+	r.pool.recycle(r.connection, r.Header)
 }
 
-// writtenWhole reports whether a request was written to its end.
-func writtenWhole(written <-chan error) bool {
+// writeSucceeded reports whether the request was completely written.
+func writeSucceeded(written <-chan error) bool {
 	select {
 	case err := <-written:
 		return err == nil
--- a/internal/worker/pool.go
+++ b/internal/worker/pool.go
@@ -1,6 +1,6 @@
-// Package worker sends requests to workers over kept connections. It sends each
-// request exactly once: unlike net/http's Transport it never repeats one by
-// itself, and it hands out an answer only if it names the request.
+// Package worker sends requests to workers over reused connections. It sends each request exactly
+// once: unlike net/http.Transport it never retries, and it returns a response only if it contains
+// the ID of the request.
 package worker
 
 import (
@@ -21,19 +21,19 @@
 )
 
 const (
-	readerBytes = 8 << 10
-	// idleLimit is how long a connection is kept when the worker names no time.
-	idleLimit = 4 * time.Second
-	// idleMargin is how long before the worker's own limit a connection is no
-	// longer used: a request that crosses the worker's close is lost.
+	readBufferBytes = 8 << 10
+	// defaultIdleLifetime is how long a connection is kept if the worker does not specify a time.
+	defaultIdleLifetime = 4 * time.Second
+	// idleMargin is the time before the worker's own idle timeout from which a connection is no
+	// longer used. A request that crosses the worker's close would be lost.
 	idleMargin = 600 * time.Millisecond
 )
 
-// Pool keeps the connections to all workers. It is safe for concurrent use.
+// Pool manages the connections to all workers. It is safe for concurrent use.
 type Pool struct {
 	dialer *net.Dialer
-	// userTimeout is how long the dialer's connections may leave what is sent unacknowledged;
-	// 0 leaves that as it is for each request.
+	// userTimeout is how long sent data may stay unacknowledged on the dialer's connections
+	// (TCP_USER_TIMEOUT). If it is 0, requests do not change the setting.
 	userTimeout time.Duration
 
 	mutex sync.Mutex
@@ -43,161 +43,164 @@
 type host struct {
 	idle []*connection
 	open int
-	// lostInRow counts the requests on kept connections that got no answer, since
-	// the last answer.
-	lostInRow int
-	// answeredAt is when the last answer began, on any connection.
-	answeredAt time.Time
+	// consecutiveLosses counts the requests on reused connections without a response since the last
+	// response.
+	consecutiveLosses int
+	// lastResponseAt is when the last response on any connection began.
+	lastResponseAt time.Time
 }
 
 type connection struct {
 	net.Conn
 	address string
-	// life is that of the worker which the connection was opened to.
-	life   string
-	reader *bufio.Reader
-	// dialed is how long opening it took.
-	dialed time.Duration
-	// kept is set once the connection has been used before.
-	kept bool
-	// usableUntil ends the time in which an idle connection may be used.
-	usableUntil time.Time
-	// userTimeout is the pool's; longBody is set while a longer one is in force.
-	userTimeout time.Duration
-	longBody    bool
+	// incarnation is the incarnation of the worker that the connection was opened to.
+	incarnation string
+	reader      *bufio.Reader
+	// dialDuration is how long opening the connection took.
+	dialDuration time.Duration
+	// reused is set if the connection was used for an earlier request.
+	reused bool
+	// idleDeadline is until when the idle connection may be used.
+	idleDeadline time.Time
+	// userTimeout is the user timeout of the pool. userTimeoutRaised is set while a longer one
+	// applies.
+	userTimeout       time.Duration
+	userTimeoutRaised bool
 }
 
 // NewPool returns an empty pool.
 func NewPool(dialer *net.Dialer) *Pool { return &Pool{dialer: dialer, hosts: make(map[string]*host)} }
 
-// NewPoolWithOptions returns an empty pool of connections that notice a silent worker.
+// NewPoolWithOptions returns an empty pool whose connections detect unresponsive workers.
 func NewPoolWithOptions(options transport.Options) *Pool {
 	pool := NewPool(transport.NewDialer(options))
 	pool.userTimeout = options.UserTimeout
 	return pool
 }
 
-// get returns a kept connection to one life of a worker, or opens one if fewer than limit are
-// open. One that was opened to another life is closed: behind a cut it says nothing of its end.
-func (p *Pool) get(ctx context.Context, address, life string, limit int) (*connection, error) {
+// acquire returns an idle connection to an incarnation of a worker, or opens one if fewer than
+// limit are open. Idle connections to other incarnations are closed, because in a network partition
+// they may never report their end.
+func (p *Pool) acquire(ctx context.Context, address, incarnation string, limit int) (*connection, error) {
 	for {
-		kept, open := p.take(address, limit)
-		if kept == nil && !open {
+		idle, allowed := p.takeIdle(address, limit)
+		if idle == nil && !allowed {
 			return nil, &TooManyConnections{Worker: address, Limit: limit}
 		}
-		if kept == nil {
+		if idle == nil {
 			break
 		}
-		if kept.life == life && time.Now().Before(kept.usableUntil) && kept.quiet() {
-			return kept, nil
+		if idle.incarnation == incarnation && time.Now().Before(idle.idleDeadline) && idle.isIdle() {
+			return idle, nil
 		}
-		p.discard(kept)
+		p.discard(idle)
 	}
-	began := time.Now()
-	dialed, err := p.dialer.DialContext(ctx, "tcp4", address)
+	startedAt := time.Now()
+	conn, err := p.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
-		p.release(address)
+		p.releaseSlot(address)
 		return nil, err
 	}
-	return &connection{Conn: dialed, address: address, life: life, reader: bufio.NewReaderSize(dialed, readerBytes), dialed: time.Since(began), userTimeout: p.userTimeout}, nil
+	return &connection{Conn: conn, address: address, incarnation: incarnation, reader: bufio.NewReaderSize(conn, readBufferBytes), dialDuration: time.Since(startedAt), userTimeout: p.userTimeout}, nil
 }
 
-// take returns the connection that was used last, or counts a new one.
-func (p *Pool) take(address string, limit int) (kept *connection, open bool) {
+// takeIdle removes and returns the most recently used idle connection. If there is none, it
+// reserves a new connection; allowed is false if the limit is reached.
+func (p *Pool) takeIdle(address string, limit int) (idle *connection, allowed bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	at := p.hosts[address]
-	if at == nil {
-		at = &host{}
-		p.hosts[address] = at
+	entry := p.hosts[address]
+	if entry == nil {
+		entry = &host{}
+		p.hosts[address] = entry
 	}
-	if last := len(at.idle) - 1; last >= 0 {
-		kept = at.idle[last]
-		at.idle = at.idle[:last]
-		return kept, true
+	if last := len(entry.idle) - 1; last >= 0 {
+		idle = entry.idle[last]
+		entry.idle = entry.idle[:last]
+		return idle, true
 	}
-	if limit > 0 && at.open >= limit {
+	if limit > 0 && entry.open >= limit {
 		return nil, false
 	}
-	at.open++
+	entry.open++
 	return nil, true
 }
 
-// OnConnected reports whether an idle connection to an address is open.
+// HasIdleConnection reports whether an idle connection to an address is open.
 func (p *Pool) HasIdleConnection(address string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	at := p.hosts[address]
-	return at != nil && len(at.idle) > 0 && time.Now().Before(at.idle[len(at.idle)-1].usableUntil)
+	host := p.hosts[address]
+	return host != nil && len(host.idle) > 0 && time.Now().Before(host.idle[len(host.idle)-1].idleDeadline)
 }
 
-// IsReachable reports whether a worker's machine answers a new connection: also one that refuses
-// it is reached.
+// IsReachable reports whether the machine of a worker responds to a new connection, even if it
+// refuses it.
 func (p *Pool) IsReachable(ctx context.Context, address string) bool {
-	dialed, err := p.dialer.DialContext(ctx, "tcp4", address)
+	conn, err := p.dialer.DialContext(ctx, "tcp4", address)
 	if err == nil {
-		dialed.Close()
+		conn.Close()
 		return true
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-func (p *Pool) release(address string) {
+func (p *Pool) releaseSlot(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if at := p.hosts[address]; at != nil {
-		at.open--
-		if at.open <= 0 && len(at.idle) == 0 {
+	if host := p.hosts[address]; host != nil {
+		host.open--
+		if host.open <= 0 && len(host.idle) == 0 {
 			delete(p.hosts, address)
 		}
 	}
 }
 
-// discard closes a connection.
-func (p *Pool) discard(used *connection) {
-	used.Close()
-	p.release(used.address)
+// discard closes a connection and releases its slot.
+func (p *Pool) discard(connection *connection) {
+	connection.Close()
+	p.releaseSlot(connection.address)
 }
 
-// maxLostInRow is how many requests in a row may get no answer on kept connections
-// before all idle ones of that worker are closed: a worker that was replaced or lost
-// power resets each of them only when it is used.
-const maxLostInRow = 2
+// maxConsecutiveLosses is the number of consecutive requests without a response on reused
+// connections after which all idle connections to the worker are closed. A worker that was replaced
+// or lost power resets each of them only when it is used.
+const maxConsecutiveLosses = 2
 
-// lost notes a request without an answer.
-func (p *Pool) lost(used *connection) {
-	if !used.kept {
+// recordLoss counts a request without a response.
+func (p *Pool) recordLoss(connection *connection) {
+	if !connection.reused {
 		return
 	}
-	p.closeIdle(used.address, func(at *host) bool {
-		at.lostInRow++
-		return at.lostInRow >= maxLostInRow
+	p.closeIdleIf(connection.address, func(host *host) bool {
+		host.consecutiveLosses++
+		return host.consecutiveLosses >= maxConsecutiveLosses
 	})
 }
 
-// answered notes an answer.
-func (p *Pool) answered(address string) {
+// recordResponse records a response.
+func (p *Pool) recordResponse(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if at := p.hosts[address]; at != nil {
-		at.lostInRow, at.answeredAt = 0, time.Now()
+	if host := p.hosts[address]; host != nil {
+		host.consecutiveLosses, host.lastResponseAt = 0, time.Now()
 	}
 }
 
-// suspect closes the idle connections of a worker that has not begun to answer a request
-// on a kept one, sent at a moment, for longer than it should: connections may go silent
-// for good without a reset, mostly together, while new ones work. An answer on another
-// connection since then speaks for the worker.
-func (p *Pool) suspect(address string, sent time.Time) {
-	p.closeIdle(address, func(at *host) bool { return at.answeredAt.Before(sent) })
+// closeIdleIfSilent closes the idle connections to a worker whose response to a request, sent on a
+// reused connection at the given time, is late. Connections can go silent permanently without a
+// reset, often several at once, while new ones work. If any connection has received a response
+// since then, they are kept.
+func (p *Pool) closeIdleIfSilent(address string, sent time.Time) {
+	p.closeIdleIf(address, func(host *host) bool { return host.lastResponseAt.Before(sent) })
 }
 
-// closeIdle closes the idle connections of a worker, if that is wanted.
-func (p *Pool) closeIdle(address string, wanted func(at *host) bool) {
+// closeIdleIf closes the idle connections to a worker if the condition holds.
+func (p *Pool) closeIdleIf(address string, condition func(host *host) bool) {
 	p.mutex.Lock()
 	var closing []*connection
-	if at := p.hosts[address]; at != nil && wanted(at) {
-		closing, at.idle = at.idle, nil
+	if host := p.hosts[address]; host != nil && condition(host) {
+		closing, host.idle = host.idle, nil
 	}
 	p.mutex.Unlock()
 	for _, each := range closing {
@@ -205,49 +208,49 @@
 	}
 }
 
-// put keeps a connection whose last answer was read whole.
-func (p *Pool) put(used *connection, header http.Header) {
-	if used.reader.Buffered() > 0 {
-		// Bytes after a whole answer belong to no request.
-		p.discard(used)
+// recycle makes a connection idle after its response was completely read.
+func (p *Pool) recycle(connection *connection, header http.Header) {
+	if connection.reader.Buffered() > 0 {
+		// Bytes after a complete response belong to no request.
+		p.discard(connection)
 		return
 	}
-	used.usableUntil = time.Now().Add(keepFor(header))
-	used.kept = true
-	p.addIdle(used)
+	connection.idleDeadline = time.Now().Add(idleLifetime(header))
+	connection.reused = true
+	p.addIdle(connection)
 }
 
-// putBack keeps a connection on which nothing was sent.
-func (p *Pool) putBack(unused *connection) {
-	if !unused.kept {
-		unused.usableUntil = time.Now().Add(idleLimit)
+// returnUnused makes a connection idle on which nothing was sent.
+func (p *Pool) returnUnused(connection *connection) {
+	if !connection.reused {
+		connection.idleDeadline = time.Now().Add(defaultIdleLifetime)
 	}
-	p.addIdle(unused)
+	p.addIdle(connection)
 }
 
-func (p *Pool) addIdle(used *connection) {
+func (p *Pool) addIdle(connection *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	at := p.hosts[used.address]
-	at.idle = append(at.idle, used)
+	host := p.hosts[connection.address]
+	host.idle = append(host.idle, connection)
 }
 
-// CloseStale closes connections that have been idle for too long, and those to lives of workers that
+// CloseStale closes connections that have been idle for too long, and those to incarnations that
 // are not listed.
-func (p *Pool) CloseStale(listed func(life string) bool) {
+func (p *Pool) CloseStale(listed func(incarnation string) bool) {
 	now := time.Now()
 	var closing []*connection
 	p.mutex.Lock()
-	for _, at := range p.hosts {
-		kept := at.idle[:0]
-		for _, each := range at.idle {
-			if now.After(each.usableUntil) || !listed(each.life) {
+	for _, host := range p.hosts {
+		kept := host.idle[:0]
+		for _, each := range host.idle {
+			if now.After(each.idleDeadline) || !listed(each.incarnation) {
 				closing = append(closing, each)
 				continue
 			}
 			kept = append(kept, each)
 		}
-		at.idle = kept
+		host.idle = kept
 	}
 	p.mutex.Unlock()
 	for _, each := range closing {
@@ -255,8 +258,8 @@
 	}
 }
 
-// keepFor returns how long a connection may be used after an answer.
-func keepFor(header http.Header) time.Duration {
+// idleLifetime returns how long a connection may stay idle after a response.
+func idleLifetime(header http.Header) time.Duration {
 	for _, parameter := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -266,22 +269,21 @@
 			return max(0, time.Duration(seconds)*time.Second-idleMargin)
 		}
 	}
-	return idleLimit
+	return defaultIdleLifetime
 }
 
-// quiet reports whether the worker has neither closed the connection nor sent
-// anything on it.
-func (c *connection) quiet() bool {
+// isIdle reports whether the worker has neither closed the connection nor sent data on it.
+func (c *connection) isIdle() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, peekErr := unix.Recvfrom(int(descriptor), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = peekErr == syscall.EAGAIN
+		var buffer [1]byte
+		_, _, peekErr := unix.Recvfrom(int(descriptor), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		idle = peekErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/internal/worker/pool_test.go
+++ b/internal/worker/pool_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serve starts a listener whose connections are handled by a function.
+// serve starts a listener that handles each connection with a function.
 func serve(t testing.TB, handle func(net.Conn, *bufio.Reader)) string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 
 const echoedHeader = "Echo-Id"
 
-func readHead(_ int, header http.Header) ResponseMetadata {
+func readMetadata(_ int, header http.Header) ResponseMetadata {
 	return ResponseMetadata{RequestID: header.Get(echoedHeader), NotRun: header.Get("Not-Run") != ""}
 }
 
@@ -45,13 +45,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	_ = cancel
 	request := &Request{ID: id, Method: http.MethodPost, Target: "/path?q=1", Host: "h", Header: http.Header{}, Body: []byte(body)}
-	return pool.Send(ctx, address, 0, request, readHead)
+	return pool.Send(ctx, address, 0, request, readMetadata)
 }
 
 func newPool() *Pool { return NewPool(&net.Dialer{Timeout: time.Second}) }
 
-func answer(id, body, more string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", echoedHeader, id, more, len(body), body)
+func encodeResponse(id, body, headers string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", echoedHeader, id, headers, len(body), body)
 }
 
 func readRequest(reader *bufio.Reader) (string, error) {
@@ -72,18 +72,18 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(connection, answer(body, "ok", ""))
+			io.WriteString(connection, encodeResponse(body, "ok", ""))
 		}
 	})
 	pool := newPool()
 	for i := range 5 {
 		id := fmt.Sprintf("r%d", i)
-		got, err := send(pool, address, id, id)
+		response, err := send(pool, address, id, id)
 		require.NoError(t, err)
-		body, err := io.ReadAll(got.Body)
+		body, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
 		require.Equal(t, "ok", string(body))
-		got.Close()
+		response.Close()
 	}
 	require.Equal(t, int32(1), opened.Load())
 }
@@ -95,32 +95,32 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(connection, answer(body, "ok", "")+answer("late", "surplus", ""))
+			io.WriteString(connection, encodeResponse(body, "ok", "")+encodeResponse("late", "surplus", ""))
 		}
 	})
 	pool := newPool()
 	for i := range 5 {
 		id := fmt.Sprintf("r%d", i)
-		got, err := send(pool, address, id, id)
+		response, err := send(pool, address, id, id)
 		require.NoError(t, err)
-		body, err := io.ReadAll(got.Body)
+		body, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
 		require.Equal(t, "ok", string(body))
-		got.Close()
+		response.Close()
 	}
 }
 
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		body, _ := readRequest(reader)
-		whole := answer(body, "a whole answer", "")
-		io.WriteString(connection, whole[:len(whole)-3])
+		complete := encodeResponse(body, "a complete response", "")
+		io.WriteString(connection, complete[:len(complete)-3])
 	})
-	got, err := send(newPool(), address, "r", "r")
+	response, err := send(newPool(), address, "r", "r")
 	require.NoError(t, err)
-	_, err = io.ReadAll(got.Body)
+	_, err = io.ReadAll(response.Body)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
-	got.Close()
+	response.Close()
 }
 
 func TestEarlyResponseToLongBodyClosesConnection(t *testing.T) {
@@ -130,19 +130,19 @@
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		io.WriteString(connection, answer("r", "early", "Not-Run: 1\r\n"))
+		io.WriteString(connection, encodeResponse("r", "early", "Not-Run: 1\r\n"))
 		time.Sleep(200 * time.Millisecond)
 	})
 	pool := newPool()
 	for range 2 {
-		got, err := send(pool, address, "r", strings.Repeat("x", 8<<20))
+		response, err := send(pool, address, "r", strings.Repeat("x", 8<<20))
 		require.NoError(t, err)
-		require.True(t, got.NotRun)
-		_, err = io.ReadAll(got.Body)
+		require.True(t, response.NotRun)
+		_, err = io.ReadAll(response.Body)
 		require.NoError(t, err)
-		got.Close()
+		response.Close()
 	}
-	require.Equal(t, int32(2), opened.Load(), "the rest of the body must not meet another request")
+	require.Equal(t, int32(2), opened.Load(), "the connection with the unread body must not be reused")
 }
 
 func TestRefusedConnectionIsNotSent(t *testing.T) {
@@ -171,20 +171,20 @@
 func TestConnectionLimit(t *testing.T) {
 	address := serve(t, func(_ net.Conn, reader *bufio.Reader) { _, _ = reader.ReadByte(); time.Sleep(time.Second) })
 	pool := newPool()
-	first, err := pool.get(context.Background(), address, "", 1)
+	first, err := pool.acquire(context.Background(), address, "", 1)
 	require.NoError(t, err)
-	_, err = pool.get(context.Background(), address, "", 1)
+	_, err = pool.acquire(context.Background(), address, "", 1)
 	var full *TooManyConnections
 	require.ErrorAs(t, err, &full)
 	pool.discard(first)
-	_, err = pool.get(context.Background(), address, "", 1)
+	_, err = pool.acquire(context.Background(), address, "", 1)
 	require.NoError(t, err)
 }
 
 func TestIdleLifetimeEndsBeforeKeepAliveTimeout(t *testing.T) {
-	require.Equal(t, 5*time.Second-idleMargin, keepFor(http.Header{"Keep-Alive": {"max=9, timeout=5"}}))
-	require.Equal(t, idleLimit, keepFor(http.Header{}))
-	require.Zero(t, keepFor(http.Header{"Keep-Alive": {"timeout=0"}}))
+	require.Equal(t, 5*time.Second-idleMargin, idleLifetime(http.Header{"Keep-Alive": {"max=9, timeout=5"}}))
+	require.Equal(t, defaultIdleLifetime, idleLifetime(http.Header{}))
+	require.Zero(t, idleLifetime(http.Header{"Keep-Alive": {"timeout=0"}}))
 }
 
 func BenchmarkSend(b *testing.B) {
@@ -194,63 +194,62 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(connection, answer(body, "ok", ""))
+			io.WriteString(connection, encodeResponse(body, "ok", ""))
 		}
 	})
 	pool := newPool()
 	for b.Loop() {
-		got, err := send(pool, address, "r", "r")
+		response, err := send(pool, address, "r", "r")
 		if err != nil {
 			b.Fatal(err)
 		}
-		_, _ = io.Copy(io.Discard, got.Body)
-		got.Close()
+		_, _ = io.Copy(io.Discard, response.Body)
+		response.Close()
 	}
 }
 
-// TestConsecutiveLossesCloseIdleConnections holds that after two requests
-// without an answer a new connection is opened, which shows whether the worker is
-// there, instead of trying one dead connection after another.
+// After two requests without a response, a new connection must be opened, which shows whether the
+// worker is reachable. Otherwise requests would be lost on one dead connection after another.
 func TestConsecutiveLossesCloseIdleConnections(t *testing.T) {
 	const connections = 5
 	var opened atomic.Int32
-	var dead atomic.Bool
-	together := make(chan struct{}, connections)
+	var closing atomic.Bool
+	arrived := make(chan struct{}, connections)
 	release := make(chan struct{})
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		opened.Add(1)
 		for {
 			body, err := readRequest(reader)
-			if err != nil || dead.Load() {
+			if err != nil || closing.Load() {
 				return
 			}
-			together <- struct{}{}
+			arrived <- struct{}{}
 			<-release
-			io.WriteString(connection, answer(body, "ok", ""))
+			io.WriteString(connection, encodeResponse(body, "ok", ""))
 		}
 	})
 	pool := newPool()
 	done := make(chan error, connections)
 	for i := range connections {
 		go func() {
-			got, err := send(pool, address, fmt.Sprint(i), fmt.Sprint(i))
+			response, err := send(pool, address, fmt.Sprint(i), fmt.Sprint(i))
 			if err == nil {
-				_, err = io.ReadAll(got.Body)
-				got.Close()
+				_, err = io.ReadAll(response.Body)
+				response.Close()
 			}
 			done <- err
 		}()
 	}
 	for range connections {
-		<-together
+		<-arrived
 	}
 	close(release)
 	for range connections {
 		require.NoError(t, <-done)
 	}
 	require.EqualValues(t, connections, opened.Load())
-	dead.Store(true)
-	for range maxLostInRow {
+	closing.Store(true)
+	for range maxConsecutiveLosses {
 		_, err := send(pool, address, "lost", "lost")
 		var lost *ResponseLost
 		require.ErrorAs(t, err, &lost)
@@ -258,13 +257,13 @@
 	require.EqualValues(t, connections, opened.Load())
 	_, err := send(pool, address, "lost", "lost")
 	require.Error(t, err)
-	require.EqualValues(t, connections+1, opened.Load(), "the idle ones are not tried any more")
+	require.EqualValues(t, connections+1, opened.Load(), "the idle connections must not be used any more")
 }
 
-// TestNothingIsSentIfBeforeSendFails holds that the connection is kept, and that the
-// caller is asked again for each request, on a kept connection too.
+// The connection must be kept, and BeforeSend must be called for each request, also on reused
+// connections.
 func TestNothingIsSentIfBeforeSendFails(t *testing.T) {
-	var opened, got atomic.Int32
+	var opened, received atomic.Int32
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		opened.Add(1)
 		for {
@@ -272,51 +271,51 @@
 			if err != nil {
 				return
 			}
-			got.Add(1)
-			io.WriteString(connection, answer(id, "body", ""))
+			received.Add(1)
+			io.WriteString(connection, encodeResponse(id, "body", ""))
 		}
 	})
 	pool := newPool()
-	asked := 0
-	try := func(failed error) error {
+	calls := 0
+	sendWith := func(beforeSendErr error) error {
 		request := &Request{
 			ID: "r", Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte("r"),
-			BeforeSend: func(context.Context) error { asked++; return failed },
+			BeforeSend: func(context.Context) error { calls++; return beforeSendErr },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		answer, err := pool.Send(ctx, address, 1, request, readHead)
+		response, err := pool.Send(ctx, address, 1, request, readMetadata)
 		if err == nil {
-			_, _ = io.Copy(io.Discard, answer.Body)
-			answer.Close()
+			_, _ = io.Copy(io.Discard, response.Body)
+			response.Close()
 		}
 		return err
 	}
 	var notSent *NotSent
-	require.ErrorAs(t, try(io.ErrNoProgress), &notSent)
+	require.ErrorAs(t, sendWith(io.ErrNoProgress), &notSent)
 	require.ErrorIs(t, notSent, io.ErrNoProgress)
-	require.Zero(t, got.Load())
-	require.NoError(t, try(nil))
-	require.ErrorAs(t, try(io.ErrNoProgress), &notSent)
-	require.NoError(t, try(nil))
-	require.EqualValues(t, 2, got.Load())
-	require.EqualValues(t, 1, opened.Load(), "a connection that was not used is kept")
-	require.Equal(t, 4, asked)
+	require.Zero(t, received.Load())
+	require.NoError(t, sendWith(nil))
+	require.ErrorAs(t, sendWith(io.ErrNoProgress), &notSent)
+	require.NoError(t, sendWith(nil))
+	require.EqualValues(t, 2, received.Load())
+	require.EqualValues(t, 1, opened.Load(), "an unused connection must be kept")
+	require.Equal(t, 4, calls)
 }
 
 func TestConnectionToPreviousIncarnationIsNotUsed(t *testing.T) {
 	address := serve(t, func(_ net.Conn, reader *bufio.Reader) { _, _ = reader.ReadByte() })
 	pool := newPool()
-	former, err := pool.get(t.Context(), address, "a@1", 1)
+	previous, err := pool.acquire(t.Context(), address, "a@1", 1)
 	require.NoError(t, err)
-	pool.putBack(former)
-	again, err := pool.get(t.Context(), address, "a@1", 1)
+	pool.returnUnused(previous)
+	again, err := pool.acquire(t.Context(), address, "a@1", 1)
 	require.NoError(t, err)
-	require.Same(t, former, again)
-	pool.putBack(again)
-	present, err := pool.get(t.Context(), address, "a@2", 1)
-	require.NoError(t, err, "the former connection is closed and does not count")
-	require.NotSame(t, former, present)
-	_, err = former.Write([]byte("x"))
+	require.Same(t, previous, again)
+	pool.returnUnused(again)
+	current, err := pool.acquire(t.Context(), address, "a@2", 1)
+	require.NoError(t, err, "the previous connection must be closed and not count toward the limit")
+	require.NotSame(t, previous, current)
+	_, err = previous.Write([]byte("x"))
 	require.Error(t, err)
 }
--- a/internal/worker/silence_test.go
+++ b/internal/worker/silence_test.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	// silence is how long an answer may take to begin in these tests, and silentWait how
-	// long a request waits for it.
-	silence    = 50 * time.Millisecond
-	silentWait = 400 * time.Millisecond
+	// silenceTimeout is the SilenceTimeout of requests in these tests, silentRequestTimeout their
+	// overall timeout.
+	silenceTimeout       = 50 * time.Millisecond
+	silentRequestTimeout = 400 * time.Millisecond
 )
 
-// sendWatched sends a request whose silence is watched.
-func sendWatched(t *testing.T, pool *Pool, address, id string) (*Response, error) {
-	ctx, cancel := context.WithTimeout(t.Context(), silentWait)
+// sendWithSilenceTimeout sends a request with a SilenceTimeout.
+func sendWithSilenceTimeout(t *testing.T, pool *Pool, address, id string) (*Response, error) {
+	ctx, cancel := context.WithTimeout(t.Context(), silentRequestTimeout)
 	t.Cleanup(cancel)
-	request := &Request{ID: id, Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte(id), SilenceTimeout: silence}
-	return pool.Send(ctx, address, 0, request, readHead)
+	request := &Request{ID: id, Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{}, Body: []byte(id), SilenceTimeout: silenceTimeout}
+	return pool.Send(ctx, address, 0, request, readMetadata)
 }
 
-// keepConnections opens so many connections through a proxy and lets them rest.
-func keepConnections(t *testing.T, pool *Pool, count int) *transporttest.Proxy {
+// openIdleConnections opens connections through a proxy and makes them idle.
+func openIdleConnections(t *testing.T, pool *Pool, count int) *transporttest.Proxy {
 	address := serve(t, func(connection net.Conn, reader *bufio.Reader) {
 		for {
 			body, err := readRequest(reader)
 			if err != nil {
 				return
 			}
-			io.WriteString(connection, answer(body, "ok", ""))
+			io.WriteString(connection, encodeResponse(body, "ok", ""))
 		}
 	})
 	proxy, err := transporttest.NewProxy(address)
 	require.NoError(t, err)
 	t.Cleanup(proxy.Close)
-	var answers []*Response
+	var responses []*Response
 	for range count {
-		answered, err := sendWatched(t, pool, proxy.Address(), "warm")
+		response, err := sendWithSilenceTimeout(t, pool, proxy.Address(), "warm")
 		require.NoError(t, err)
-		answers = append(answers, answered)
+		responses = append(responses, response)
 	}
-	for _, each := range answers {
+	for _, each := range responses {
 		_, err := io.Copy(io.Discard, each.Body)
 		require.NoError(t, err)
 		each.Close()
@@ -58,33 +58,33 @@
 	return proxy
 }
 
-// TestSilentConnectionsLoseOnlyOneRequest silences all kept connections to a worker.
-// The first request may have run and is lost; the next one goes over a new connection.
+// When all idle connections to a worker go silent, the first request may have run and is
+// lost. The next one must use a new connection.
 func TestSilentConnectionsLoseOnlyOneRequest(t *testing.T) {
 	pool := newPool()
-	proxy := keepConnections(t, pool, 4)
+	proxy := openIdleConnections(t, pool, 4)
 	proxy.Silence()
-	_, err := sendWatched(t, pool, proxy.Address(), "silent")
+	_, err := sendWithSilenceTimeout(t, pool, proxy.Address(), "silent")
 	var lost *ResponseLost
-	require.ErrorAs(t, err, &lost, "no promise that it has not run")
-	answered, err := sendWatched(t, pool, proxy.Address(), "next")
-	require.NoError(t, err, "another silent connection was used")
-	answered.Close()
+	require.ErrorAs(t, err, &lost, "the worker may have run the request")
+	response, err := sendWithSilenceTimeout(t, pool, proxy.Address(), "next")
+	require.NoError(t, err, "a silent connection must not be used again")
+	response.Close()
 }
 
-// TestRecentResponseKeepsIdleConnections: a request that takes long says nothing
-// of the worker's other connections where one of them has answered meanwhile.
+// A slow request says nothing about the worker's other connections if one of them has received a
+// response in the meantime.
 func TestRecentResponseKeepsIdleConnections(t *testing.T) {
 	pool := newPool()
-	proxy := keepConnections(t, pool, 3)
+	proxy := openIdleConnections(t, pool, 3)
 	sent := time.Now()
-	answered, err := sendWatched(t, pool, proxy.Address(), "meanwhile")
+	response, err := sendWithSilenceTimeout(t, pool, proxy.Address(), "meanwhile")
 	require.NoError(t, err)
-	_, err = io.Copy(io.Discard, answered.Body)
+	_, err = io.Copy(io.Discard, response.Body)
 	require.NoError(t, err)
-	answered.Close()
-	pool.suspect(proxy.Address(), sent)
+	response.Close()
+	pool.closeIdleIfSilent(proxy.Address(), sent)
 	require.True(t, pool.HasIdleConnection(proxy.Address()))
-	pool.suspect(proxy.Address(), time.Now())
+	pool.closeIdleIfSilent(proxy.Address(), time.Now())
 	require.False(t, pool.HasIdleConnection(proxy.Address()))
 }
--- a/internal/zonehealth/detector.go
+++ b/internal/zonehealth/detector.go
@@ -1,10 +1,9 @@
-// Package zonehealth judges which zones a process reaches, from when someone in each of them
-// last answered and from probes that nobody there answered. It is pure: it does no I/O and
-// reads no clock.
+// Package zonehealth detects unreachable zones from the times of the last answers of each zone and
+// from unanswered probes. It does no I/O and does not read a clock.
 //
-// It answers the load of a zone that loses its links or its power: requests to each of its
-// workers would otherwise have to fail one by one at every gateway, and the zone's own
-// gateways would hold requests for replicas that cannot answer.
+// When a zone loses its network links or its power, requests to each of its workers would otherwise
+// have to fail one by one at every gateway, and the gateways in that zone would hold requests for
+// replicas that cannot answer.
 package zonehealth
 
 import (
@@ -14,142 +13,145 @@
 )
 
 const (
-	// ProbeAfter is for how long nobody in a zone has answered before the zone is probed. A
-	// gateway with a few requests a second hears every zone more often than that.
+	// ProbeAfter is the time without an answer from a zone after which it is probed. A gateway with
+	// a few requests per second gets answers from every zone more often than that.
 	ProbeAfter = 300 * time.Millisecond
-	// ProbeTimeout is how long a probe waits: several times the way between regions that are
-	// far apart, and the pause of a process whose processor is taken away.
+	// ProbeTimeout is the timeout of a probe. It is several times the latency between distant
+	// regions, and longer than the pause of a process that gets no processor time.
 	ProbeTimeout = 200 * time.Millisecond
-	// longestQuiet bounds the time between probes of a zone whose replicas do not answer
-	// while its workers do: each probe costs a connection to one of these.
-	longestQuiet = 2 * time.Second
-	// enoughMisses is how many probes in a row nobody has answered when a zone is taken to be
-	// out of reach: one may have met a pause of this process.
-	enoughMisses = 2
+	// maxProbeInterval is the maximum time between probes of a zone whose workers answer while its
+	// replicas do not. Each of these probes opens a connection to a worker.
+	maxProbeInterval = 2 * time.Second
+	// unreachableAfterMisses is the number of consecutive unanswered probes after which a zone is
+	// unreachable. A single miss may be caused by a pause of this process.
+	unreachableAfterMisses = 2
 )
 
-// Detector is what one process sees of zones. It is safe for concurrent use.
+// Detector tracks which zones a process can reach. It is safe for concurrent use.
 type Detector struct {
-	own string
+	ownZone string
 
 	mutex sync.Mutex
 	zones map[string]*zone
 }
 
 type zone struct {
-	// answered is when someone in the zone answered last.
-	answered time.Time
-	// silentSince is when the first probe began that nobody has answered since then; zero is
-	// none. misses counts those probes.
-	silentSince time.Time
-	misses      int
-	unreached   bool
-	// quiet is for how long nobody must have answered before the next probe.
-	quiet time.Duration
-	// replica is when a replica of the zone answered last.
-	replica time.Time
+	// lastAnswer is the time of the last answer from the zone.
+	lastAnswer time.Time
+	// silentSince is the start of the first unanswered probe since the last answer, or zero if
+	// there is none. missedProbes counts those probes.
+	silentSince  time.Time
+	missedProbes int
+	unreachable  bool
+	// probeAfter is the time without an answer after which the zone is probed next.
+	probeAfter time.Duration
+	// lastReplicaAnswer is the time of the last answer from a replica of the zone.
+	lastReplicaAnswer time.Time
 }
 
-// NewDetector returns the detector of a process in a zone.
-func NewDetector(own string) *Detector { return &Detector{own: own, zones: make(map[string]*zone)} }
+// NewDetector returns a detector for a process in the given zone.
+func NewDetector(ownZone string) *Detector {
+	return &Detector{ownZone: ownZone, zones: make(map[string]*zone)}
+}
 
-// SetZones forgets the zones that are not among those given, and begins to know the others, as
-// ones that have answered just now.
-func (s *Detector) SetZones(now time.Time, names []string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for name := range s.zones {
+// SetZones sets the zones to track. New zones start as if they had just answered.
+func (d *Detector) SetZones(now time.Time, names []string) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for name := range d.zones {
 		if !slices.Contains(names, name) {
-			delete(s.zones, name)
+			delete(d.zones, name)
 		}
 	}
 	for _, name := range names {
-		if s.zones[name] == nil {
-			s.zones[name] = &zone{answered: now, quiet: ProbeAfter}
+		if d.zones[name] == nil {
+			d.zones[name] = &zone{lastAnswer: now, probeAfter: ProbeAfter}
 		}
 	}
 }
 
-// RecordAnswer notes that someone in a zone answered at a moment. It reports whether the zone
-// was taken to be out of reach.
-func (s *Detector) RecordAnswer(name string, at time.Time) (returned bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	known := s.zones[name]
-	if known == nil || !at.After(known.answered) {
+// RecordAnswer records an answer from a zone at the given time. It reports whether the zone was
+// unreachable before.
+func (d *Detector) RecordAnswer(name string, at time.Time) (recovered bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	state := d.zones[name]
+	if state == nil || !at.After(state.lastAnswer) {
 		return false
 	}
-	known.answered = at
-	if !at.After(known.silentSince) {
-		// An answer from before the silence began.
+	state.lastAnswer = at
+	if !at.After(state.silentSince) {
+		// The answer was received before the silence began.
 		return false
 	}
-	returned = known.unreached
-	known.silentSince, known.misses, known.unreached = time.Time{}, 0, false
-	return returned
+	recovered = state.unreachable
+	state.silentSince, state.missedProbes, state.unreachable = time.Time{}, 0, false
+	return recovered
 }
 
-// RecordWorkerAnswer notes that a probe of a zone whose replicas do not answer was answered by a worker,
-// and reports what Answered does. Probes that bring only this come less and less often.
-func (s *Detector) RecordWorkerAnswer(name string, at time.Time) (returned bool) {
-	returned = s.RecordAnswer(name, at)
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if known := s.zones[name]; known != nil {
-		known.quiet = min(longestQuiet, 2*known.quiet)
+// RecordWorkerAnswer records that a worker answered a probe of a zone whose replicas do not answer.
+// It returns the result of RecordAnswer. Each call doubles the probe interval up to
+// maxProbeInterval.
+func (d *Detector) RecordWorkerAnswer(name string, at time.Time) (recovered bool) {
+	recovered = d.RecordAnswer(name, at)
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if state := d.zones[name]; state != nil {
+		state.probeAfter = min(maxProbeInterval, 2*state.probeAfter)
 	}
-	return returned
+	return recovered
 }
 
-// RecordReplicaAnswer notes that a replica of a zone answered at a moment, and reports what
-// RecordAnswer does.
-func (s *Detector) RecordReplicaAnswer(name string, at time.Time) (returned bool) {
-	s.mutex.Lock()
-	if known := s.zones[name]; known != nil && at.After(known.replica) {
-		known.replica, known.quiet = at, ProbeAfter
+// RecordReplicaAnswer records an answer from a replica of a zone at the given time, and resets the
+// probe interval. It returns the result of RecordAnswer.
+func (d *Detector) RecordReplicaAnswer(name string, at time.Time) (recovered bool) {
+	d.mutex.Lock()
+	if state := d.zones[name]; state != nil && at.After(state.lastReplicaAnswer) {
+		state.lastReplicaAnswer, state.probeAfter = at, ProbeAfter
 	}
-	s.mutex.Unlock()
-	return s.RecordAnswer(name, at)
+	d.mutex.Unlock()
+	return d.RecordAnswer(name, at)
 }
 
-// RecordMissedProbe notes a probe that nobody in a zone has answered, and when it began. It reports
-// whether the zone is taken to be out of reach from now on: that needs an answer from another
-// zone during the silence, for else it may be this process that nothing reaches.
-func (s *Detector) RecordMissedProbe(name string, began time.Time) (lost bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	known := s.zones[name]
-	if known == nil || known.answered.After(began) || !s.answeredElsewhere(name, began.Add(-ProbeAfter)) {
-		// Where no other zone was heard either, the probe says more of this process.
+// RecordMissedProbe records an unanswered probe of a zone that began at the given time. It reports
+// whether the zone has become unreachable. That requires an answer from another zone during the
+// silence, because otherwise this process may be the one that is disconnected.
+func (d *Detector) RecordMissedProbe(name string, startedAt time.Time) (becameUnreachable bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	state := d.zones[name]
+	if state == nil || state.lastAnswer.After(startedAt) || !d.answeredElsewhere(name, startedAt.Add(-ProbeAfter)) {
+		// Without an answer from another zone, the probe may have failed because of this process.
 		return false
 	}
-	if known.misses == 0 {
-		known.silentSince = began
+	if state.missedProbes == 0 {
+		state.silentSince = startedAt
 	}
-	known.misses++
-	if known.unreached || known.misses < enoughMisses || !s.answeredElsewhere(name, known.silentSince) {
+	state.missedProbes++
+	if state.unreachable || state.missedProbes < unreachableAfterMisses || !d.answeredElsewhere(name, state.silentSince) {
 		return false
 	}
-	known.unreached = true
+	state.unreachable = true
 	return true
 }
 
-// answeredElsewhere reports whether another zone has answered since a moment. The mutex is held.
-func (s *Detector) answeredElsewhere(name string, since time.Time) bool {
-	for other, known := range s.zones {
-		if other != name && known.answered.After(since) {
+// answeredElsewhere reports whether another zone has answered since the given time. The mutex must
+// be held.
+func (d *Detector) answeredElsewhere(name string, since time.Time) bool {
+	for other, state := range d.zones {
+		if other != name && state.lastAnswer.After(since) {
 			return true
 		}
 	}
 	return false
 }
 
-// ZonesToProbe returns the zones that are to be probed.
-func (s *Detector) ZonesToProbe(now time.Time) (due []string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for name, known := range s.zones {
-		if now.Sub(known.answered) >= known.quiet {
+// ZonesToProbe returns the sorted names of the zones that must be probed now.
+func (d *Detector) ZonesToProbe(now time.Time) (due []string) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for name, state := range d.zones {
+		if now.Sub(state.lastAnswer) >= state.probeAfter {
 			due = append(due, name)
 		}
 	}
@@ -157,50 +159,51 @@
 	return due
 }
 
-// IsUnreachable reports whether a zone is taken to be out of reach.
-func (s *Detector) IsUnreachable(name string) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	known := s.zones[name]
-	return known != nil && known.unreached
+// IsUnreachable reports whether a zone is unreachable.
+func (d *Detector) IsUnreachable(name string) bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	state := d.zones[name]
+	return state != nil && state.unreachable
 }
 
-// UnreachableCount returns how many zones are taken to be out of reach.
-func (s *Detector) UnreachableCount() (count int) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	for _, known := range s.zones {
-		if known.unreached {
+// UnreachableCount returns the number of unreachable zones.
+func (d *Detector) UnreachableCount() (count int) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	for _, state := range d.zones {
+		if state.unreachable {
 			count++
 		}
 	}
 	return count
 }
 
-// HasMissedProbe reports whether a probe of a zone has found nobody since its last answer.
-func (s *Detector) HasMissedProbe(name string) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	known := s.zones[name]
-	return known != nil && known.misses > 0
+// HasMissedProbe reports whether a probe of a zone was missed since its last answer.
+func (d *Detector) HasMissedProbe(name string) bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	state := d.zones[name]
+	return state != nil && state.missedProbes > 0
 }
 
-// CutOffSince reports whether no other zone is reached while the own one is, and since when.
-func (s *Detector) CutOffSince() (since time.Time, cutOff bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if own := s.zones[s.own]; own == nil || own.unreached || len(s.zones) < 2 {
+// CutOffSince returns since when all other zones have been unreachable while the own zone is not,
+// and whether that is so.
+func (d *Detector) CutOffSince() (since time.Time, cutOff bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if own := d.zones[d.ownZone]; own == nil || own.unreachable || len(d.zones) < 2 {
 		return time.Time{}, false
 	}
-	for name, known := range s.zones {
-		if name == s.own {
+	for name, state := range d.zones {
+		if name == d.ownZone {
 			continue
 		}
-		if !known.unreached {
+		if !state.unreachable {
 			return time.Time{}, false
 		}
-		if known.silentSince.After(since) {
-			since = known.silentSince
+		if state.silentSince.After(since) {
+			since = state.silentSince
 		}
 	}
 	return since, true
