--- a/internal/limit/active.go
+++ b/internal/limit/active.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// activeShares is the set of shares in use. A share enters it at most once, so
-// that the request path takes the lock only when it wakes an idle one.
+// activeShares is the set of shares in use. The request path takes the lock only when
+// it activates an idle share, because each share is added at most once.
 type activeShares struct {
 	mutex  sync.Mutex
 	shares map[*share]struct{}
--- a/internal/limit/admitter.go
+++ b/internal/limit/admitter.go
@@ -13,15 +13,15 @@
 
 // Config configures an Admitter.
 type Config struct {
-	// TargetFirstTokenLatency is the delay until the first part of an answer that admitted calls
-	// should meet.
+	// TargetFirstTokenLatency is the time to the first token of an answer that admitted
+	// calls should meet.
 	TargetFirstTokenLatency time.Duration
-	// InitialLimit, Smallest and Largest bound the calls under way at once; 0 means
-	// the defaults.
+	// InitialLimit, MinLimit and MaxLimit bound the number of calls in flight; 0
+	// selects the default.
 	InitialLimit int
 	MinLimit     int
 	MaxLimit     int
-	// Seed makes the spread of waits repeatable.
+	// Seed makes the jitter of retry delays reproducible.
 	Seed uint64
 }
 
@@ -33,80 +33,84 @@
 	DefaultMaxLimit                = 4096
 )
 
-// Class says how much an admitted request asks for.
+// Class is the kind of request that asks for admission.
 type Class int
 
 const (
-	// ClassProgramStart begins a new program, which will ask for many calls.
+	// ClassProgramStart starts a new program, which will make many calls.
 	ClassProgramStart Class = iota
-	// ClassCall is a call of a program under way, whose earlier calls would be
-	// wasted by a refusal.
+	// ClassCall is a call of a running program. Rejecting it would waste the program's
+	// earlier calls.
 	ClassCall
-	classes
+	classCount
 )
 
 // Request is a request to be admitted.
 type Request struct {
 	Tenant structs.TenantID
-	// Weight is the tenant's share under overload, relative to others; 0 means 1.
+	// Weight is the tenant's relative share under overload; 0 means 1.
 	Weight float64
 	Class  Class
-	// Priority is the program's declared priority; higher goes first.
+	// Priority is the program's declared priority; higher values are admitted first.
 	Priority int
-	// Deadline is when the answer is of use no more; zero means never.
+	// Deadline is the time after which the answer is useless; zero means no deadline.
 	Deadline time.Time
 }
 
-// Outcome is how an admitted request ended.
+// Outcome is the result of an admitted request, as the limit needs it.
 type Outcome int
 
-// The outcomes.
+// Results of an admitted request.
 const (
 	OutcomeCompleted Outcome = iota
-	// OutcomeOverloaded for want of room behind this daemon.
+	// OutcomeOverloaded means that the backend rejected the request because it had no
+	// capacity.
 	OutcomeOverloaded
-	// OutcomeIgnored by the caller, or failed for reasons that tell nothing of load.
+	// OutcomeIgnored means that the caller canceled the request, or that it failed for
+	// a reason unrelated to load.
 	OutcomeIgnored
 )
 
-// Admitter bounds the calls under way by the delay that they meet. It queues
-// nothing: a request is admitted or refused at once, with a time to come back.
-// It is safe for concurrent use; the path of a request takes a lock only when
-// it is refused or a window ends.
+// Admitter limits the calls in flight by the latency that they observe. It has no
+// queue: a request is admitted or rejected immediately, and a rejection carries a retry
+// delay. It is safe for concurrent use; the request path takes a lock only when a
+// request is rejected or a window ends.
 type Admitter struct {
 	config   Config
 	limit    atomic.Int64
 	inFlight atomic.Int64
-	// opened counts openings that ended in this window and still hold a place.
-	opened atomic.Int64
-	// callsBack is when the last refused call was told to come back, in
+	// retainedStarts counts the program starts that ended in this window and still
+	// count as in flight.
+	retainedStarts atomic.Int64
+	// lastCallRetry is the latest time at which a rejected call was told to retry, in
 	// nanoseconds of the Unix epoch.
-	callsBack atomic.Int64
-	tenants   sync.Map // structs.TenantID to *tenantLoad
-	weights   atomic.Uint64
-	// The window being filled.
-	samples, late, overloads, peak, done atomic.Int64
-
-	mutex     sync.Mutex
-	windowEnd time.Time
-	adaptive  adaptive
-	seen      window // not yet judged
-	doneRate  Rate
-	firstPart time.Duration
-	comebacks [classes]comeback
-	random    *rand.Rand
-	ends      atomic.Int64 // windowEnd in nanoseconds, read without the lock
+	lastCallRetry atomic.Int64
+	tenants       sync.Map // structs.TenantID to *tenantLoad
+	totalWeight   atomic.Uint64
+	// Counters of the current window.
+	samples, overTarget, overloads, peakInFlight, completions atomic.Int64
+
+	mutex             sync.Mutex
+	windowEnd         time.Time
+	adaptive          adaptiveLimit
+	pending           window // windows that the limit does not account for yet
+	completionRate    Rate
+	firstTokenLatency time.Duration
+	retryPacers       [classCount]retryPacer
+	random            *rand.Rand
+	windowEndNanos    atomic.Int64 // windowEnd in Unix nanoseconds, read without the lock
 }
 
-// tenantLoad is what one tenant has under way.
+// tenantLoad holds one tenant's requests in flight and its weight.
 type tenantLoad struct {
 	inFlight atomic.Int64
-	// asked counts requests since the last window's end, refused ones too.
-	asked  atomic.Int64
-	weight atomic.Uint64 // thousandths
+	// requests counts the requests since the end of the last window, rejected ones
+	// included.
+	requests atomic.Int64
+	weight   atomic.Uint64 // thousandths
 }
 
-// NewAdmitter returns an admitter with nothing under way.
+// NewAdmitter returns an admitter without calls in flight.
 func NewAdmitter(now time.Time, config Config) *Admitter {
 	config.TargetFirstTokenLatency = cmp.Or(config.TargetFirstTokenLatency, DefaultTargetFirstTokenLatency)
 	config.InitialLimit = cmp.Or(config.InitialLimit, DefaultInitialLimit)
@@ -115,90 +119,92 @@
 	a := &Admitter{
 		config:    config,
 		windowEnd: now.Add(windowLength),
-		adaptive:  adaptive{limit: float64(config.InitialLimit), threshold: float64(config.MaxLimit)},
+		adaptive:  adaptiveLimit{limit: float64(config.InitialLimit), threshold: float64(config.MaxLimit)},
 		random:    rand.New(rand.NewPCG(config.Seed, 1)),
 	}
 	a.limit.Store(int64(config.InitialLimit))
-	a.ends.Store(a.windowEnd.UnixNano())
+	a.windowEndNanos.Store(a.windowEnd.UnixNano())
 	return a
 }
 
-// Limit returns how many calls may be under way now.
+// Limit returns the current limit of calls in flight.
 func (a *Admitter) Limit() int { return int(a.limit.Load()) }
 
-// InFlight returns how many admitted requests have not ended.
+// InFlight returns the number of admitted requests that have not ended.
 func (a *Admitter) InFlight() int { return int(a.inFlight.Load()) }
 
-// Admit lets a request in, or refuses it with a *failure.Overloaded. The caller
-// must give the ticket back by Done.
+// Admit admits a request or rejects it with a *failure.Overloaded. The caller must call
+// Done on the ticket.
 func (a *Admitter) Admit(now time.Time, request Request) (*Ticket, error) {
-	a.roll(now)
-	tenant := a.load(request)
-	tenant.asked.Add(1)
+	a.rollWindow(now)
+	tenant := a.loadOf(request)
+	tenant.requests.Add(1)
 	inFlight := a.inFlight.Add(1)
-	held := tenant.inFlight.Add(1)
-	seen := standing{
-		limit:    float64(a.limit.Load()),
-		inFlight: float64(inFlight),
-		tenant:   float64(held),
-		weight:   float64(tenant.weight.Load()),
-		weights:  float64(a.weights.Load()),
+	tenantInFlight := tenant.inFlight.Add(1)
+	state := admissionState{
+		limit:          float64(a.limit.Load()),
+		inFlight:       float64(inFlight),
+		tenantInFlight: float64(tenantInFlight),
+		weight:         float64(tenant.weight.Load()),
+		totalWeight:    float64(a.totalWeight.Load()),
 	}
-	if !seen.admits(request) || a.callsComeBack(now, request) || a.tooLate(now, request, seen) {
+	if !state.admits(request) || a.mustWaitForCallRetries(now, request) || a.cannotMeetDeadline(now, request, state) {
 		a.inFlight.Add(-1)
 		tenant.inFlight.Add(-1)
-		return nil, &failure.Overloaded{Resource: "calls under way", Wait: a.wait(now, request.Class)}
+		return nil, &failure.Overloaded{Resource: "calls under way", Wait: a.retryDelay(now, request.Class)}
 	}
-	storeMax(&a.peak, inFlight)
+	storeMax(&a.peakInFlight, inFlight)
 	return &Ticket{admitter: a, tenant: tenant, class: request.Class, admitted: now}, nil
 }
 
-// callsComeBack tells whether an opening must wait because calls of programs
-// under way were refused and have not come back yet. Otherwise more programs
-// would be begun than can be finished, and the work on them wasted.
-func (a *Admitter) callsComeBack(now time.Time, request Request) bool {
-	return request.Class == ClassProgramStart && now.UnixNano() < a.callsBack.Load()
+// mustWaitForCallRetries reports whether a program start must wait because calls of
+// running programs were rejected and have not been retried yet. Otherwise more programs
+// would start than can finish, and the work done for them would be wasted.
+func (a *Admitter) mustWaitForCallRetries(now time.Time, request Request) bool {
+	return request.Class == ClassProgramStart && now.UnixNano() < a.lastCallRetry.Load()
 }
 
-// tooLate tells whether an answer cannot come before the request's deadline.
-// Only a full daemon refuses for it: with room, the estimate is no proof.
-func (a *Admitter) tooLate(now time.Time, request Request, seen standing) bool {
+// cannotMeetDeadline reports whether the answer cannot arrive before the request's
+// deadline. Below the utilization threshold only an expired deadline is rejected: with
+// spare capacity the latency estimate does not prove that the deadline will be missed.
+func (a *Admitter) cannotMeetDeadline(now time.Time, request Request, state admissionState) bool {
 	if request.Deadline.IsZero() {
 		return false
 	}
-	left := request.Deadline.Sub(now)
-	if left <= 0 {
+	remaining := request.Deadline.Sub(now)
+	if remaining <= 0 {
 		return true
 	}
-	if seen.inFlight < inUse*seen.limit {
+	if state.inFlight < minUtilization*state.limit {
 		return false
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return left < a.firstPart
+	return remaining < a.firstTokenLatency
 }
 
-// wait returns when a refused request is to come back. The classes come back
-// apart: a program under way must not wait behind those not yet begun.
-func (a *Admitter) wait(now time.Time, class Class) time.Duration {
+// retryDelay returns the delay after which a rejected request should retry. Each class
+// has its own retry slots, so that running programs do not wait behind programs that
+// have not started.
+func (a *Admitter) retryDelay(now time.Time, class Class) time.Duration {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	rate := max(a.doneRate, 1)
+	rate := max(a.completionRate, 1)
 	if class != ClassCall {
-		return a.comebacks[class].wait(now, rate, longestWait, a.random)
+		return a.retryPacers[class].delay(now, rate, maxRetryDelay, a.random)
 	}
-	wait := a.comebacks[class].wait(now, rate, longestCallWait, a.random)
-	storeMax(&a.callsBack, now.Add(wait).UnixNano())
-	return wait
+	delay := a.retryPacers[class].delay(now, rate, maxCallRetryDelay, a.random)
+	storeMax(&a.lastCallRetry, now.Add(delay).UnixNano())
+	return delay
 }
 
-// load returns the tenant's load.
-func (a *Admitter) load(request Request) *tenantLoad {
-	found, seen := a.tenants.Load(request.Tenant)
-	if !seen {
-		found, _ = a.tenants.LoadOrStore(request.Tenant, &tenantLoad{})
+// loadOf returns the load of the request's tenant, updated with the request's weight.
+func (a *Admitter) loadOf(request Request) *tenantLoad {
+	value, exists := a.tenants.Load(request.Tenant)
+	if !exists {
+		value, _ = a.tenants.LoadOrStore(request.Tenant, &tenantLoad{})
 	}
-	load := found.(*tenantLoad)
+	load := value.(*tenantLoad)
 	weight := request.Weight
 	if weight <= 0 {
 		weight = 1
@@ -207,5 +213,5 @@
 	return load
 }
 
-// weightScale is the number of a weight's units in 1.
+// weightScale is the number of stored weight units in a weight of 1.
 const weightScale = 1000
--- a/internal/limit/admitter_test.go
+++ b/internal/limit/admitter_test.go
@@ -19,60 +19,61 @@
 		_, err := a.Admit(start, Request{Tenant: "a", Class: ClassCall})
 		require.NoError(t, err)
 	}
-	refuse := func(class Class, count int) []time.Duration {
-		var waits []time.Duration
+	rejectMany := func(class Class, count int) []time.Duration {
+		var delays []time.Duration
 		for range count {
 			_, err := a.Admit(start, Request{Tenant: "a", Class: class})
 			var overloaded *failure.Overloaded
 			require.ErrorAs(t, err, &overloaded)
 			require.Equal(t, failure.NotRun, overloaded.Outcome())
-			waits = append(waits, overloaded.Wait)
+			delays = append(delays, overloaded.Wait)
 		}
-		return waits
+		return delays
 	}
-	// One a second is told to come back, so the last comes after about 50 s.
-	openings := refuse(ClassProgramStart, 50)
-	require.InDelta(t, 1, openings[0].Seconds(), 0.2)
-	require.InDelta(t, 50, openings[49].Seconds(), 6)
-	// Calls of programs under way do not wait behind openings, nor for long.
-	calls := refuse(ClassCall, 50)
-	require.InDelta(t, 1, calls[0].Seconds(), 0.2)
-	require.LessOrEqual(t, slices.Max(calls), longestCallWait)
+	// One retry per second is scheduled, so the last delay is about 50 s.
+	startDelays := rejectMany(ClassProgramStart, 50)
+	require.InDelta(t, 1, startDelays[0].Seconds(), 0.2)
+	require.InDelta(t, 50, startDelays[49].Seconds(), 6)
+	// Calls of running programs neither queue behind program starts nor wait long.
+	callDelays := rejectMany(ClassCall, 50)
+	require.InDelta(t, 1, callDelays[0].Seconds(), 0.2)
+	require.LessOrEqual(t, slices.Max(callDelays), maxCallRetryDelay)
 	require.Equal(t, 10, a.InFlight())
 }
 
-// While refused calls have not come back, no program is begun.
+// Program starts are rejected until rejected calls of running programs have been
+// retried.
 func TestProgramStartsWaitForRejectedCalls(t *testing.T) {
 	a := NewAdmitter(start, Config{InitialLimit: 1})
 	ticket, err := a.Admit(start, Request{Tenant: "a", Class: ClassCall})
 	require.NoError(t, err)
 	_, err = a.Admit(start, Request{Tenant: "a", Class: ClassCall})
-	refused, _ := failure.As(err)
+	rejection, _ := failure.As(err)
 	ticket.Done(start, OutcomeCompleted)
 	a.limit.Store(100)
-	_, err = a.Admit(start.Add(refused.Retry().After-1), Request{Tenant: "b", Class: ClassProgramStart})
+	_, err = a.Admit(start.Add(rejection.Retry().After-1), Request{Tenant: "b", Class: ClassProgramStart})
 	require.True(t, failure.IsType(err, "overloaded"))
-	_, err = a.Admit(start.Add(refused.Retry().After), Request{Tenant: "b", Class: ClassProgramStart})
+	_, err = a.Admit(start.Add(rejection.Retry().After), Request{Tenant: "b", Class: ClassProgramStart})
 	require.NoError(t, err)
 }
 
 func TestProgramStartsLeaveCapacityForCalls(t *testing.T) {
 	a := NewAdmitter(start, Config{InitialLimit: 100})
-	opened := 0
+	started := 0
 	for range 200 {
 		ticket, err := a.Admit(start, Request{Tenant: "a", Class: ClassProgramStart})
 		if err == nil {
 			ticket.Done(start, OutcomeCompleted)
-			opened++
+			started++
 		}
 	}
-	require.Equal(t, 60, opened, "an ended opening keeps its place for a while")
+	require.Equal(t, 60, started, "a finished program start still counts as in flight until the window ends")
 	_, err := a.Admit(start, Request{Tenant: "a", Class: ClassCall})
 	require.NoError(t, err)
 	_, err = a.Admit(start, Request{Tenant: "a", Class: ClassProgramStart, Priority: 2})
-	require.NoError(t, err, "a higher priority has more room")
+	require.NoError(t, err, "a higher priority has a higher limit")
 	_, err = a.Admit(start.Add(windowLength), Request{Tenant: "a", Class: ClassProgramStart})
-	require.NoError(t, err, "the next window frees the places")
+	require.NoError(t, err, "the next window releases the finished program starts")
 }
 
 func TestRequestThatCannotMeetDeadlineIsRejected(t *testing.T) {
@@ -92,18 +93,18 @@
 }
 
 func TestLimitFollowsLatency(t *testing.T) {
-	bounds := func(l adaptive, seen window) float64 { return l.next(seen, 4, 1000).limit }
-	base := adaptive{limit: 100, threshold: 50}
-	require.Equal(t, 100.0, bounds(base, window{samples: 4, late: 4, peak: 100}), "too few to judge")
-	require.Equal(t, 100.0, bounds(base, window{samples: 50, peak: 49}), "not in use")
-	require.Equal(t, 102.0, bounds(base, window{samples: 50, peak: 90}))
-	require.Equal(t, 120.0, bounds(adaptive{limit: 100, threshold: 500}, window{samples: 50, peak: 90}))
-	require.Equal(t, 85.5, bounds(base, window{samples: 50, late: 10, peak: 90}))
-	require.Equal(t, 72.0, bounds(base, window{samples: 50, late: 30, peak: 90}))
-	require.Equal(t, 4.0, bounds(base, window{overloads: 50, peak: 1}), "never below the smallest")
-	proven := adaptive{limit: 100, threshold: 50, proven: 80}
-	require.Equal(t, 20.0, bounds(proven, window{overloads: 50, peak: 1}), "an outage leaves a part")
-	require.Equal(t, 50.0, base.next(window{overloads: 50, peak: 90}, 4, 1000).threshold, "an outage is no measure")
+	nextLimit := func(l adaptiveLimit, counters window) float64 { return l.next(counters, 4, 1000).limit }
+	base := adaptiveLimit{limit: 100, threshold: 50}
+	require.Equal(t, 100.0, nextLimit(base, window{samples: 4, overTarget: 4, peakInFlight: 100}), "too few samples")
+	require.Equal(t, 100.0, nextLimit(base, window{samples: 50, peakInFlight: 49}), "limit not utilized")
+	require.Equal(t, 102.0, nextLimit(base, window{samples: 50, peakInFlight: 90}))
+	require.Equal(t, 120.0, nextLimit(adaptiveLimit{limit: 100, threshold: 500}, window{samples: 50, peakInFlight: 90}))
+	require.Equal(t, 85.5, nextLimit(base, window{samples: 50, overTarget: 10, peakInFlight: 90}))
+	require.Equal(t, 72.0, nextLimit(base, window{samples: 50, overTarget: 30, peakInFlight: 90}))
+	require.Equal(t, 4.0, nextLimit(base, window{overloads: 50, peakInFlight: 1}), "never below the minimum limit")
+	withPeak := adaptiveLimit{limit: 100, threshold: 50, sustainedPeak: 80}
+	require.Equal(t, 20.0, nextLimit(withPeak, window{overloads: 50, peakInFlight: 1}), "an outage leaves a fraction of the sustained peak")
+	require.Equal(t, 50.0, base.next(window{overloads: 50, peakInFlight: 90}, 4, 1000).threshold, "an outage does not change the threshold")
 }
 
 func TestRetriesAreLimitedToFractionOfSuccesses(t *testing.T) {
@@ -122,12 +123,12 @@
 		require.True(t, budget.Allow(start))
 	}
 	require.False(t, budget.Allow(start))
-	require.True(t, budget.Allow(start.Add(2*time.Second)), "a steady trickle")
+	require.True(t, budget.Allow(start.Add(2*time.Second)), "the minimum rate without successes")
 	require.False(t, budget.Allow(start.Add(2*time.Second)))
 }
 
-// Many at once: the places taken are never more than the limit, and all are
-// given back.
+// Every ticket of concurrent requests is released exactly once, even if Done is called
+// twice.
 func TestConcurrentRequestsReleaseAllTickets(t *testing.T) {
 	const workers, rounds = 16, 500
 	a := NewAdmitter(start, Config{InitialLimit: 8, MaxLimit: 8})
@@ -152,7 +153,7 @@
 	require.NoError(t, err)
 }
 
-// BenchmarkAdmit is the cost on the path of a request.
+// BenchmarkAdmit measures the cost of admission on the request path.
 func BenchmarkAdmit(b *testing.B) {
 	a := NewAdmitter(start, Config{InitialLimit: 4096})
 	b.RunParallel(func(pb *testing.PB) {
--- a/internal/limit/bucket.go
+++ b/internal/limit/bucket.go
@@ -7,12 +7,12 @@
 
 // Bucket is a token bucket whose rate may change at any time.
 type Bucket struct {
-	// Tokens are what may be taken, as of Updated.
+	// Tokens is the number of available tokens at the time Updated.
 	Tokens  float64
 	Updated time.Time
 }
 
-// Refill adds what the rate gave since the last refill, up to capacity.
+// Refill adds the tokens that rate produced since the last refill, up to capacity.
 func (b *Bucket) Refill(now time.Time, rate Rate, capacity float64) {
 	if elapsed := now.Sub(b.Updated); elapsed > 0 {
 		b.Tokens += float64(rate) * elapsed.Seconds()
@@ -21,7 +21,7 @@
 	b.Tokens = min(b.Tokens, capacity)
 }
 
-// Take removes one token if there is one.
+// Take removes one token and reports whether one was available.
 func (b *Bucket) Take() bool {
 	if b.Tokens < 1 {
 		return false
@@ -30,35 +30,37 @@
 	return true
 }
 
-// demand is the smoothed rate at which requests arrive.
-type demand struct {
-	value   float64
+// demandEstimator is an exponentially decaying average of the rate at which requests
+// arrive.
+type demandEstimator struct {
+	rate    float64
 	updated time.Time
 }
 
-// demandHalfLife is how fast demand forgets, in seconds.
-const demandHalfLife = 10.0
+// demandHalfLifeSeconds is the half-life of the average.
+const demandHalfLifeSeconds = 10.0
 
-// add counts an arrival.
-func (d *demand) add(now time.Time) {
+// observe counts one arrival.
+func (d *demandEstimator) observe(now time.Time) {
 	d.decay(now)
-	d.value += demandDecay / demandHalfLife
+	d.rate += ln2 / demandHalfLifeSeconds
 }
 
-// at returns the rate now.
-func (d *demand) at(now time.Time) Rate {
+// rateAt returns the estimated rate at the given time.
+func (d *demandEstimator) rateAt(now time.Time) Rate {
 	d.decay(now)
-	return Rate(d.value)
+	return Rate(d.rate)
 }
 
-// demandDecay is ln 2: the rate of decay is demandDecay / demandHalfLife.
-const demandDecay = 0.6931471805599453
+// ln2 is the natural logarithm of 2. The decay constant of the average is ln2 /
+// demandHalfLifeSeconds.
+const ln2 = 0.6931471805599453
 
-func (d *demand) decay(now time.Time) {
+func (d *demandEstimator) decay(now time.Time) {
 	elapsed := now.Sub(d.updated).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	d.value *= math.Exp2(-elapsed / demandHalfLife)
+	d.rate *= math.Exp2(-elapsed / demandHalfLifeSeconds)
 	d.updated = now
 }
--- a/internal/limit/limit.go
+++ b/internal/limit/limit.go
@@ -1,8 +1,7 @@
-// Package limit decides which requests a daemon takes: tenants' declared rates,
-// kept over many daemons by shares that follow demand; how many calls may be
-// under way at once, by the delay that admitted calls meet; and how many retries
-// may be added to them. It does no I/O and reads no clock: callers pass the time
-// in and carry the messages.
+// Package limit is the admission control of a daemon. It enforces the declared rates of
+// tenants across all daemons by shares that follow demand, limits the calls in flight
+// by the latency that admitted calls observe, and limits retries. It does no I/O and
+// reads no clock: callers pass the time in and transport the messages.
 package limit
 
 import (
@@ -14,49 +13,49 @@
 // Rate is a number of requests per second.
 type Rate float64
 
-// Unlimited is the rate of a tenant that declares none.
+// Unlimited is the rate of a tenant that declares no rate.
 const Unlimited = Rate(math.MaxFloat64)
 
-// interval returns the time between two requests at the rate, at most longest.
-func (r Rate) interval(longest time.Duration) time.Duration {
-	if float64(r)*longest.Seconds() <= 1 {
-		return longest
+// interval returns the time between two requests at the rate, at most maxInterval.
+func (r Rate) interval(maxInterval time.Duration) time.Duration {
+	if float64(r)*maxInterval.Seconds() <= 1 {
+		return maxInterval
 	}
 	return time.Duration(float64(time.Second) / float64(r))
 }
 
-// comeback tells refused requests when to come back. It hands out slots at the
-// rate at which requests can be taken, so that those who come back arrive one
-// after the other instead of all at once, however many were refused together.
-type comeback struct {
-	// next is the first time that no refused request was told.
-	next time.Time
+// retryPacer assigns retry times to rejected requests. It hands out slots at the rate
+// at which requests can be admitted, so that retries arrive one by one however many
+// requests were rejected at the same time.
+type retryPacer struct {
+	// nextSlot is the end of the last slot handed out.
+	nextSlot time.Time
 }
 
 const (
-	// shortestWait keeps a refused request from coming back at once.
-	shortestWait = 10 * time.Millisecond
-	// longestWait bounds what a request is told, longestCallWait what a call of a
-	// program under way is told: of these there are never many. Beyond it the
-	// slots wrap, and requests spread over the whole of it.
-	longestWait     = time.Minute
-	longestCallWait = 5 * time.Second
-	// waitJitter is the fraction by which a wait varies, so that equal daemons
-	// do not send their callers back in step.
-	waitJitter = 0.1
+	// minRetryDelay prevents immediate retries.
+	minRetryDelay = 10 * time.Millisecond
+	// maxRetryDelay is the upper bound of the retry delay, maxCallRetryDelay the one
+	// for calls of running programs, of which only a few exist at a time. Beyond the
+	// bound the slots wrap around, and retries spread over the whole interval.
+	maxRetryDelay     = time.Minute
+	maxCallRetryDelay = 5 * time.Second
+	// retryJitter is the relative jitter of a retry delay. It keeps daemons in the same
+	// state from synchronizing the retries of their callers.
+	retryJitter = 0.1
 )
 
-// wait returns how long the next refused request is to stay away, longest at most.
-func (c *comeback) wait(now time.Time, rate Rate, longest time.Duration, random *rand.Rand) time.Duration {
-	if c.next.Before(now) {
-		c.next = now
+// delay returns the retry delay of the next rejected request, at most maxDelay.
+func (p *retryPacer) delay(now time.Time, rate Rate, maxDelay time.Duration, random *rand.Rand) time.Duration {
+	if p.nextSlot.Before(now) {
+		p.nextSlot = now
 	}
-	c.next = c.next.Add(rate.interval(longest))
-	wait := c.next.Sub(now)
-	if wait > longest {
-		wait = time.Duration(random.Int64N(int64(longest)))
-		c.next = now.Add(longest)
+	p.nextSlot = p.nextSlot.Add(rate.interval(maxDelay))
+	delay := p.nextSlot.Sub(now)
+	if delay > maxDelay {
+		delay = time.Duration(random.Int64N(int64(maxDelay)))
+		p.nextSlot = now.Add(maxDelay)
 	}
-	wait += time.Duration((2*random.Float64() - 1) * waitJitter * float64(wait))
-	return min(max(wait, shortestWait), longest)
+	delay += time.Duration((2*random.Float64() - 1) * retryJitter * float64(delay))
+	return min(max(delay, minRetryDelay), maxDelay)
 }
--- a/internal/limit/message.go
+++ b/internal/limit/message.go
@@ -6,46 +6,47 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Holder is one life of a daemon that holds shares. A daemon that restarted
-// holds none of its former life's.
+// Holder is one incarnation of a daemon that holds shares. A restarted daemon has a new
+// incarnation and holds none of the shares of the previous one.
 type Holder struct {
 	Node        structs.NodeID
 	Incarnation structs.Incarnation
 }
 
-// ReportNumber tells a tenant's home what one daemon sees of the tenant.
+// Report tells a tenant's owner the demand for the tenant at one daemon.
 type Report struct {
 	Tenant structs.TenantID
-	// Number rises with each report of this holder for this tenant.
+	// Number increases with each report of this holder for this tenant.
 	Number uint32
-	// LastGrant is the number of the last grant taken; 0 for none.
+	// LastGrant is the number of the last grant applied; 0 means none.
 	LastGrant uint32
-	// Demand is the rate of requests that arrive at the daemon.
+	// Demand is the rate of the tenant's requests that arrive at the daemon.
 	Demand Rate
-	// HeldRate is the share that the daemon keeps to until it takes another grant.
+	// HeldRate is the share that the daemon uses until it applies another grant.
 	HeldRate Rate
 }
 
-// Grant hands a share of a tenant's rate out.
+// Grant allocates a share of a tenant's rate to a holder.
 type Grant struct {
 	Tenant structs.TenantID
-	// Incarnation is the life of the receiver that the grant is for.
+	// Incarnation is the incarnation of the receiver that the grant is for.
 	Incarnation structs.Incarnation
-	// ReportNumber is the number of the report whose sending the lifetime counts from.
+	// ReportNumber is the number of the report that the grant answers. The lifetime of
+	// the share starts when that report was sent.
 	ReportNumber uint32
-	// Number rises with each grant of this home to this holder.
+	// Number increases with each grant of this owner to this holder.
 	Number uint32
 	Rate   Rate
 }
 
-// Message is what one daemon sends another at once.
+// Message carries reports and grants from one daemon to another.
 type Message struct {
 	From    Holder
 	Reports []Report
 	Grants  []Grant
 }
 
-// Outgoing is a message to be sent. It may be lost, doubled or overtaken.
+// Outgoing is a message to send. The transport may lose, duplicate or reorder it.
 type Outgoing struct {
 	To      structs.NodeID
 	Message Message
@@ -55,34 +56,36 @@
 	// ShareLifetime is how long a share may be used after the report that it answers
 	// was sent.
 	ShareLifetime = time.Minute
-	// reportInterval is the time between reports of a tenant in use: two may be
-	// lost before a share runs out.
+	// reportInterval is the interval between reports of an active tenant: two reports
+	// may be lost before a share expires.
 	reportInterval = ShareLifetime / 3
-	// urgentInterval is the least time between reports of one tenant.
-	urgentInterval = 250 * time.Millisecond
-	// reportsPerSecond and reportBurst bound what a daemon sends as reports,
-	// whatever the number of its tenants; the most urgent go first.
+	// minReportInterval is the minimum time between two reports of one tenant.
+	minReportInterval = 250 * time.Millisecond
+	// reportsPerSecond and reportBurst limit the reports that a daemon sends,
+	// independent of the number of its tenants. Reports with the highest priority are
+	// sent first.
 	reportsPerSecond = 4
 	reportBurst      = 32
 )
 
 const (
-	// reserveFraction of a tenant's rate is spread evenly over all daemons and
-	// may be used without a grant.
+	// reserveFraction of a tenant's rate is split evenly among all daemons and may be
+	// used without a grant.
 	reserveFraction = 0.05
-	// burstSeconds of its rate a tenant may use at once after a pause.
+	// burstSeconds is the burst that a tenant may use after a pause, in seconds of its
+	// rate.
 	burstSeconds = 1.0
-	// leastBurst of requests a tenant may always use at once at a daemon after a
-	// pause. At a small share requests come as irregularly as at a large one, and
-	// a smaller burst would refuse many that are within the rate.
-	leastBurst = 5.0
-	// headroom is the multiple of its demand that a daemon is granted where the
-	// rate allows.
-	headroom = 2.0
-	// leastFraction of a tenant's rate is what any daemon that sees the tenant
-	// is granted, and may use at once, where the rate allows.
-	leastFraction = 1.0 / 16
-	// demandNoise is the change of demand, in requests a second, that a few
-	// requests more or fewer make, and that is no news to the home.
+	// minBurst is the minimum burst, in requests, of a tenant at one daemon. Requests
+	// arrive as irregularly at a small share as at a large one, so a smaller burst
+	// would reject many requests that are within the rate.
+	minBurst = 5.0
+	// headroomFactor is the multiple of its demand that a daemon is granted if the rate
+	// allows.
+	headroomFactor = 2.0
+	// minShareFraction of a tenant's rate is granted to any daemon that receives
+	// requests of the tenant, and may be used at once, if the rate allows.
+	minShareFraction = 1.0 / 16
+	// demandNoise is a change of demand, in requests per second, that a few requests
+	// more or less can cause. Smaller changes are not reported to the owner.
 	demandNoise = Rate(0.5)
 )
--- a/internal/limit/shares_benchmark_test.go
+++ b/internal/limit/rate_limiter_benchmark_test.go
@@ -13,44 +13,44 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// The size that the shares are designed for.
+// The deployment size that the rate limiter is designed for.
 const (
 	scaleDaemons  = 1_500
 	scaleTenants  = 7_700
-	scaleRequests = 21_000 // a second
+	scaleRequests = 21_000 // per second
 )
 
-// scaleRun is a whole deployment's shares, and what they sent.
+// scaleRun simulates the rate limiters of a whole deployment and counts what they send.
 type scaleRun struct {
-	now     time.Time
-	daemons []*RateLimiter
-	index   map[structs.NodeID]int
-	random  *rand.Rand
-	tenants []structs.TenantID
-	// spread is the number of daemons that one tenant's callers use.
-	spread   int
-	bytes    []int
-	messages []int
-	admitted int
-	offered  int
+	now         time.Time
+	daemons     []*RateLimiter
+	indexByNode map[structs.NodeID]int
+	random      *rand.Rand
+	tenants     []structs.TenantID
+	// daemonsPerTenant is the number of daemons that receive one tenant's requests.
+	daemonsPerTenant int
+	bytes            []int
+	messages         []int
+	admitted         int
+	offered          int
 }
 
-func newScaleRun(spread int) *scaleRun {
+func newScaleRun(daemonsPerTenant int) *scaleRun {
 	r := &scaleRun{
-		now:    time.Unix(1_800_000_000, 0),
-		index:  map[structs.NodeID]int{},
-		random: rand.New(rand.NewPCG(1, 1)), spread: spread,
+		now:         time.Unix(1_800_000_000, 0),
+		indexByNode: map[structs.NodeID]int{},
+		random:      rand.New(rand.NewPCG(1, 1)), daemonsPerTenant: daemonsPerTenant,
 		bytes: make([]int, scaleDaemons), messages: make([]int, scaleDaemons),
 	}
 	view := View{KnownNodes: scaleDaemons}
 	for i := range scaleDaemons {
 		view.Nodes = append(view.Nodes, structs.NodeID(fmt.Sprintf("daemon-%04d", i)))
-		r.index[view.Nodes[i]] = i
+		r.indexByNode[view.Nodes[i]] = i
 	}
 	rates := Rates{}
 	for i := range scaleTenants {
 		r.tenants = append(r.tenants, structs.TenantID(fmt.Sprintf("tenant-%04d", i)))
-		// A third more than the tenant's mean demand.
+		// Each rate is a third higher than the tenant's mean demand.
 		rates[r.tenants[i]] = Rate(scaleRequests) / scaleTenants * 4 / 3
 	}
 	for i := range scaleDaemons {
@@ -62,13 +62,13 @@
 	return r
 }
 
-// second runs one second of requests and messages.
-func (r *scaleRun) second(b *testing.B) {
+// runSecond simulates one second of requests and messages.
+func (r *scaleRun) runSecond(b *testing.B) {
 	const ticks = int(time.Second / TickInterval)
 	for range ticks {
 		for range scaleRequests / ticks {
 			tenant := r.random.IntN(scaleTenants)
-			daemon := (tenant*7919 + r.random.IntN(r.spread)) % scaleDaemons
+			daemon := (tenant*7919 + r.random.IntN(r.daemonsPerTenant)) % scaleDaemons
 			r.offered++
 			if r.daemons[daemon].Admit(r.now, r.tenants[tenant]) == nil {
 				r.admitted++
@@ -89,39 +89,38 @@
 func (r *scaleRun) deliver(b *testing.B, out Outgoing) []Outgoing {
 	data, err := out.Message.MarshalBinary()
 	require.NoError(b, err)
-	from := r.index[out.Message.From.Node]
+	from := r.indexByNode[out.Message.From.Node]
 	r.bytes[from] += len(data)
 	r.messages[from]++
 	received := Message{}
 	require.NoError(b, received.UnmarshalBinary(data))
-	return r.daemons[r.index[out.To]].Receive(r.now, received)
+	return r.daemons[r.indexByNode[out.To]].Receive(r.now, received)
 }
 
-// BenchmarkRateLimiterAtScale runs 1,500 daemons with 7,700 tenants and 21,000
-// requests a second. It reports what one daemon sends, before the transport's
-// own framing, the part of the requests admitted, and a daemon's heap without the
-// table of rates, which the daemons share here; tenants ask for three quarters
-// of their rate.
+// BenchmarkRateLimiterAtScale runs 1,500 daemons with 7,700 tenants and 21,000 requests
+// per second; tenants request three quarters of their rate. It reports what one daemon
+// sends, without the transport's framing, the fraction of requests admitted, and a
+// daemon's heap without the table of rates, which all daemons share here.
 func BenchmarkRateLimiterAtScale(b *testing.B) {
-	for _, spread := range []int{1, 3, 10, 100} {
-		b.Run(fmt.Sprintf("daemonsPerTenant=%d", spread), func(b *testing.B) {
+	for _, daemonsPerTenant := range []int{1, 3, 10, 100} {
+		b.Run(fmt.Sprintf("daemonsPerTenant=%d", daemonsPerTenant), func(b *testing.B) {
 			before := heapBytes()
-			run := newScaleRun(spread)
+			run := newScaleRun(daemonsPerTenant)
 			const warmUp = 30
 			for range warmUp {
-				run.second(b)
+				run.runSecond(b)
 			}
 			clear(run.bytes)
 			clear(run.messages)
 			run.admitted, run.offered = 0, 0
 			seconds := 0
 			for b.Loop() {
-				run.second(b)
+				run.runSecond(b)
 				seconds++
 			}
 			slices.Sort(run.bytes)
 			slices.Sort(run.messages)
-			perSecond := func(values []int, at int) float64 { return float64(values[at]) / float64(seconds) }
+			perSecond := func(values []int, index int) float64 { return float64(values[index]) / float64(seconds) }
 			b.ReportMetric(perSecond(run.bytes, scaleDaemons/2), "bytes/s-median")
 			b.ReportMetric(perSecond(run.bytes, scaleDaemons-1), "bytes/s-max")
 			b.ReportMetric(perSecond(run.messages, scaleDaemons/2), "messages/s-median")
@@ -132,7 +131,7 @@
 	}
 }
 
-// heapBytes returns what is in use after a collection.
+// heapBytes returns the heap size after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	stats := runtime.MemStats{}
@@ -140,7 +139,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkRateLimiterAdmit is the cost on the path of a request.
+// BenchmarkRateLimiterAdmit measures the cost of the rate limit on the request path.
 func BenchmarkRateLimiterAdmit(b *testing.B) {
 	f := newFleet(1, 1e9)
 	b.RunParallel(func(pb *testing.PB) {
--- a/internal/limit/shares_test.go
+++ b/internal/limit/rate_limiter_test.go
@@ -14,46 +14,48 @@
 
 const tenantA = structs.TenantID("voltkai")
 
-// fleet is daemons with a network that loses, doubles, delays and reorders.
+// fleet is a set of daemons with a network that loses, duplicates, delays and reorders
+// messages.
 type fleet struct {
-	now     time.Time
-	rate    Rate
-	nodes   []structs.NodeID
-	side    []int // the part of the network that a daemon is in
-	daemons []*RateLimiter
-	pending []Outgoing
-	// homes holds when each life of a daemon was last the tenant's home.
-	homes map[Holder]time.Time
+	now       time.Time
+	rate      Rate
+	nodes     []structs.NodeID
+	partition []int // the network partition that a daemon is in
+	daemons   []*RateLimiter
+	pending   []Outgoing
+	// lastOwned holds the time at which each daemon incarnation last was the tenant's
+	// owner.
+	lastOwned map[Holder]time.Time
 }
 
-func newFleet(count int, rate Rate) *fleet {
+func newFleet(daemons int, rate Rate) *fleet {
 	f := &fleet{
-		now:     time.Unix(1_800_000_000, 0),
-		rate:    rate,
-		side:    make([]int, count),
-		daemons: make([]*RateLimiter, count),
-		homes:   map[Holder]time.Time{},
+		now:       time.Unix(1_800_000_000, 0),
+		rate:      rate,
+		partition: make([]int, daemons),
+		daemons:   make([]*RateLimiter, daemons),
+		lastOwned: map[Holder]time.Time{},
 	}
-	for i := range count {
+	for i := range daemons {
 		f.nodes = append(f.nodes, structs.NodeID(fmt.Sprintf("daemon-%d", i)))
 	}
-	for i := range count {
+	for i := range daemons {
 		f.start(i, 1)
 	}
 	return f
 }
 
-func (f *fleet) start(i int, life structs.Incarnation) {
-	f.daemons[i] = NewRateLimiter(Holder{Node: f.nodes[i], Incarnation: life}, f.now, uint64(i))
-	f.see(i)
+func (f *fleet) start(i int, incarnation structs.Incarnation) {
+	f.daemons[i] = NewRateLimiter(Holder{Node: f.nodes[i], Incarnation: incarnation}, f.now, uint64(i))
+	f.updateView(i)
 	f.daemons[i].SetRates(f.now, DeclaredRates([]structs.Tenant{{Name: tenantA, RequestsPerSecond: float64(f.rate)}}))
 }
 
-// see gives a daemon the view of its side of the network.
-func (f *fleet) see(i int) {
+// updateView gives a daemon the membership view of its partition.
+func (f *fleet) updateView(i int) {
 	view := View{KnownNodes: len(f.nodes)}
 	for j, node := range f.nodes {
-		if f.side[j] == f.side[i] {
+		if f.partition[j] == f.partition[i] {
 			view.Nodes = append(view.Nodes, node)
 		}
 	}
@@ -69,10 +71,10 @@
 	return -1
 }
 
-// deliver gives one message to its receiver, unless the network is cut there.
+// deliver passes a message to its receiver unless the two are in different partitions.
 func (f *fleet) deliver(message Outgoing) {
 	to, from := f.index(message.To), f.index(message.Message.From.Node)
-	if f.side[to] == f.side[from] {
+	if f.partition[to] == f.partition[from] {
 		f.pending = append(f.pending, f.daemons[to].Receive(f.now, message.Message)...)
 	}
 }
@@ -82,11 +84,11 @@
 	for _, daemon := range f.daemons {
 		f.pending = append(f.pending, daemon.Tick(f.now)...)
 	}
-	f.noteHomes()
+	f.recordOwners()
 }
 
-// settle delivers everything in order.
-func (f *fleet) settle() {
+// deliverAll delivers all pending messages and their replies in order.
+func (f *fleet) deliverAll() {
 	for len(f.pending) > 0 {
 		message := f.pending[0]
 		f.pending = f.pending[1:]
@@ -94,16 +96,16 @@
 	}
 }
 
-func (f *fleet) noteHomes() {
+func (f *fleet) recordOwners() {
 	for _, daemon := range f.daemons {
-		if daemon.home(tenantA) == daemon.self.Node {
-			f.homes[daemon.self] = f.now
+		if daemon.owner(tenantA) == daemon.self.Node {
+			f.lastOwned[daemon.self] = f.now
 		}
 	}
 }
 
-// shares sums what all daemons may let in now.
-func (f *fleet) shares() Rate {
+// totalRate returns the sum of the rates that all daemons may admit now.
+func (f *fleet) totalRate() Rate {
 	sum := Rate(0)
 	for _, daemon := range f.daemons {
 		sum += daemon.Rate(f.now, tenantA)
@@ -111,25 +113,25 @@
 	return sum
 }
 
-// bound is the oracle: the declared rate, once for each home of the last
-// lifetime. Homes of parts that were cut off hand out only their fraction, so
-// that the parts of one cut count once together.
-func (f *fleet) bound() Rate {
-	homes := 0
-	for _, last := range f.homes {
-		if f.now.Sub(last) <= ShareLifetime {
-			homes++
+// maxTotalRate is the oracle: the declared rate times the number of owners within the
+// last share lifetime. An owner in a partition grants only its partition's fraction of
+// the rate, so the two owners of one partitioned cluster together count once.
+func (f *fleet) maxTotalRate() Rate {
+	owners := 0
+	for _, lastOwned := range f.lastOwned {
+		if f.now.Sub(lastOwned) <= ShareLifetime {
+			owners++
 		}
 	}
-	return f.rate * Rate(max(homes, 1))
+	return f.rate * Rate(max(owners, 1))
 }
 
-// Whatever is lost, doubled, delayed, reordered or restarted, the shares in use
-// never exceed the declared rate for each home that handed them out.
+// The shares in use never exceed the declared rate times the number of recent owners,
+// even if messages are lost, duplicated, delayed or reordered and daemons restart.
 func TestSharesStayWithinDeclaredRatePerOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 6).Draw(t, "daemons"), Rate(rapid.IntRange(1, 200).Draw(t, "rate")))
-		life := structs.Incarnation(1)
+		incarnation := structs.Incarnation(1)
 		anyDaemon := rapid.IntRange(0, len(f.nodes)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"requests": func(t *rapid.T) {
@@ -160,33 +162,34 @@
 			},
 			"lose": func(*rapid.T) { f.pending = nil },
 			"restart": func(t *rapid.T) {
-				life++
-				f.start(anyDaemon.Draw(t, "daemon"), life)
-				f.noteHomes()
+				incarnation++
+				f.start(anyDaemon.Draw(t, "daemon"), incarnation)
+				f.recordOwners()
 			},
-			// Some daemons learn of a cut, or of its end, later than others.
+			// Some daemons learn later than others that a partition begins or ends.
 			"cut or heal": func(t *rapid.T) {
-				side := rapid.SliceOfN(rapid.IntRange(0, 1), len(f.nodes), len(f.nodes)).Draw(t, "side")
-				copy(f.side, side)
+				partition := rapid.SliceOfN(rapid.IntRange(0, 1), len(f.nodes), len(f.nodes)).Draw(t, "side")
+				copy(f.partition, partition)
 				for i := range f.nodes {
 					if rapid.Bool().Draw(t, "learns") {
-						f.see(i)
+						f.updateView(i)
 					}
 				}
 			},
 			"": func(t *rapid.T) {
-				f.noteHomes()
-				require.LessOrEqual(t, float64(f.shares()), float64(f.bound())*(1+1e-9))
+				f.recordOwners()
+				require.LessOrEqual(t, float64(f.totalRate()), float64(f.maxTotalRate())*(1+1e-9))
 			},
 		})
 	})
 }
 
-// While one home stays, the sum never exceeds the declared rate at all.
+// While the owner does not change, the sum of the shares never exceeds the declared
+// rate.
 func TestSharesOfOneOwnerNeverExceedDeclaredRate(t *testing.T) {
 	f := newFleet(5, 100)
 	random := rand.New(rand.NewPCG(7, 7))
-	most := Rate(0)
+	maxTotal := Rate(0)
 	for range 20_000 {
 		f.tick(time.Duration(random.IntN(2_000)) * time.Millisecond)
 		busy := f.daemons[random.IntN(len(f.daemons))]
@@ -203,21 +206,21 @@
 		if len(f.pending) > 50 {
 			f.pending = f.pending[25:]
 		}
-		most = max(most, f.shares())
-		require.LessOrEqual(t, float64(f.shares()), 100*(1+1e-9))
+		maxTotal = max(maxTotal, f.totalRate())
+		require.LessOrEqual(t, float64(f.totalRate()), 100*(1+1e-9))
 	}
-	require.Greater(t, float64(most), 80.0, "the rate was put to use")
+	require.Greater(t, float64(maxTotal), 80.0, "most of the rate was used")
 }
 
-// Parts of the cluster that are cut off from each other have homes of their
-// own, and stay within the declared rate together once former grants ran out.
+// Partitions of the cluster have separate owners. Together they stay within the
+// declared rate once the grants from before the partition have expired.
 func TestPartitionsTogetherStayWithinDeclaredRate(t *testing.T) {
 	f := newFleet(6, 60)
-	for i := range f.side {
-		f.side[i] = i % 2
+	for i := range f.partition {
+		f.partition[i] = i % 2
 	}
-	for i := range f.side {
-		f.see(i)
+	for i := range f.partition {
+		f.updateView(i)
 	}
 	f.tick(ShareLifetime)
 	for range 600 {
@@ -227,24 +230,24 @@
 			}
 		}
 		f.tick(TickInterval)
-		f.settle()
-		require.LessOrEqual(t, float64(f.shares()), 60*(1+1e-9))
+		f.deliverAll()
+		require.LessOrEqual(t, float64(f.totalRate()), 60*(1+1e-9))
 	}
-	require.Greater(t, float64(f.shares()), 50.0)
+	require.Greater(t, float64(f.totalRate()), 50.0)
 }
 
-// run lets requests arrive at a daemon at a rate for a while and returns how
-// many it admitted.
+// run sends requests to a daemon at a rate for a duration and returns the number
+// admitted.
 func (f *fleet) run(daemon int, rate Rate, duration time.Duration) int {
-	admitted, owed := 0, 0.0
+	admitted, due := 0, 0.0
 	for elapsed := time.Duration(0); elapsed < duration; elapsed += TickInterval {
-		for owed += float64(rate) * TickInterval.Seconds(); owed >= 1; owed-- {
+		for due += float64(rate) * TickInterval.Seconds(); due >= 1; due-- {
 			if f.daemons[daemon].Admit(f.now, tenantA) == nil {
 				admitted++
 			}
 		}
 		f.tick(TickInterval)
-		f.settle()
+		f.deliverAll()
 	}
 	return admitted
 }
@@ -252,13 +255,14 @@
 func TestSharesFollowDemand(t *testing.T) {
 	f := newFleet(7, 100)
 	f.run(2, 90, 10*time.Second)
-	require.Greater(t, f.run(2, 90, 10*time.Second), 880, "nearly all of the rate at one daemon")
+	require.Greater(t, f.run(2, 90, 10*time.Second), 880, "nearly the whole rate at one daemon")
 	f.run(5, 90, 30*time.Second)
-	require.Greater(t, f.run(5, 90, 10*time.Second), 880, "and at another, once demand has moved")
-	require.InDelta(t, 1000, f.run(5, 300, 10*time.Second), 100, "three times the rate")
+	require.Greater(t, f.run(5, 90, 10*time.Second), 880, "nearly the whole rate at another daemon after demand has moved")
+	require.InDelta(t, 1000, f.run(5, 300, 10*time.Second), 100, "demand of three times the rate")
 }
 
-// Over a long overload what gets in is the declared rate, plus one burst a daemon.
+// During a long overload, the number of admitted requests is the declared rate plus at
+// most one burst per daemon.
 func TestAdmissionUnderOverloadMatchesDeclaredRate(t *testing.T) {
 	const rate, seconds, daemons = 50, 120, 4
 	f := newFleet(daemons, rate)
@@ -272,7 +276,7 @@
 			}
 		}
 		f.tick(TickInterval)
-		f.settle()
+		f.deliverAll()
 	}
 	require.LessOrEqual(t, admitted, rate*seconds+daemons*rate)
 	require.Greater(t, admitted, rate*seconds*85/100)
@@ -286,31 +290,32 @@
 	require.Equal(t, Unlimited, f.daemons[0].Rate(f.now, tenantA))
 }
 
-// A grant counts from the sending of the report that it answers: one that comes
-// when its home has given the share to another gives nothing any more.
+// A share's lifetime starts when the report is sent. A grant that arrives after that
+// lifetime has no effect, because the owner may have granted the share to another
+// daemon.
 func TestGrantAfterShareLifetimeHasNoEffect(t *testing.T) {
 	f := newFleet(2, 100)
-	home := f.index(f.daemons[0].home(tenantA))
-	holder := 1 - home
+	owner := f.index(f.daemons[0].owner(tenantA))
+	holder := 1 - owner
 	require.NoError(t, f.daemons[holder].Admit(f.now, tenantA))
 	reports := f.daemons[holder].Tick(f.now)
 	require.Len(t, reports, 1)
-	late := f.daemons[home].Receive(f.now, reports[0].Message)
-	require.Len(t, late, 1)
-	require.Greater(t, late[0].Message.Grants[0].Rate, Rate(1))
+	lateGrants := f.daemons[owner].Receive(f.now, reports[0].Message)
+	require.Len(t, lateGrants, 1)
+	require.Greater(t, lateGrants[0].Message.Grants[0].Rate, Rate(1))
 	before := f.daemons[holder].Rate(f.now, tenantA)
 	f.now = f.now.Add(ShareLifetime)
-	f.daemons[holder].Receive(f.now, late[0].Message)
+	f.daemons[holder].Receive(f.now, lateGrants[0].Message)
 	require.Equal(t, before, f.daemons[holder].Rate(f.now, tenantA))
 }
 
-// A daemon that restarted takes no grant of its former life.
+// A restarted daemon ignores grants for its previous incarnation.
 func TestGrantForPreviousIncarnationHasNoEffect(t *testing.T) {
 	f := newFleet(2, 100)
-	home := f.index(f.daemons[0].home(tenantA))
-	holder := 1 - home
+	owner := f.index(f.daemons[0].owner(tenantA))
+	holder := 1 - owner
 	require.NoError(t, f.daemons[holder].Admit(f.now, tenantA))
-	grants := f.daemons[home].Receive(f.now, f.daemons[holder].Tick(f.now)[0].Message)
+	grants := f.daemons[owner].Receive(f.now, f.daemons[holder].Tick(f.now)[0].Message)
 	f.start(holder, 2)
 	require.NoError(t, f.daemons[holder].Admit(f.now, tenantA))
 	f.daemons[holder].Tick(f.now)
--- a/internal/limit/share.go
+++ b/internal/limit/share.go
@@ -10,32 +10,33 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// share is what this daemon may let in for one tenant.
+// share is this daemon's share of one tenant's rate.
 type share struct {
 	tenant structs.TenantID
 	mutex  sync.Mutex
-	// declared is the tenant's rate over all daemons; reserve is this daemon's
-	// part of it that needs no grant.
-	declared Rate
-	reserve  Rate
-	bucket   Bucket
-	demand   demand
-	comeback comeback
-	random   *rand.Rand
+	// declaredRate is the tenant's rate across all daemons. reserveRate is this
+	// daemon's part of it that needs no grant.
+	declaredRate Rate
+	reserveRate  Rate
+	bucket       Bucket
+	demand       demandEstimator
+	retryPacer   retryPacer
+	random       *rand.Rand
 
-	// granted may be used until expires.
-	granted Rate
-	expires time.Time
-	taken   uint32
-	// number and sent are of the last report; earlier ones no longer count.
-	number uint32
-	sent   time.Time
-	told   Rate
-	// short says that a request was refused since the last report, lowered that
-	// a grant below the share held was taken since.
-	short   bool
-	lowered bool
-	// active says that the share is in the list of active ones.
+	// grantedRate may be used until expires.
+	grantedRate Rate
+	expires     time.Time
+	lastGrant   uint32
+	// reportNumber and reportSent describe the last report. Grants that answer earlier
+	// reports are ignored.
+	reportNumber   uint32
+	reportSent     time.Time
+	reportedDemand Rate
+	// rejectedSinceReport is set if a request was rejected since the last report,
+	// reducedSinceReport if a grant lowered the share since then.
+	rejectedSinceReport bool
+	reducedSinceReport  bool
+	// active is set while the share is in activeShares.
 	active atomic.Bool
 }
 
@@ -43,113 +44,113 @@
 	return &share{
 		tenant: tenant,
 		bucket: Bucket{Updated: now},
-		demand: demand{updated: now},
+		demand: demandEstimator{updated: now},
 		random: rand.New(rand.NewPCG(seed, 0)),
 	}
 }
 
-// rate returns what may be used now.
+// rate returns the rate that this daemon may admit now.
 func (s *share) rate(now time.Time) Rate {
 	if now.Before(s.expires) {
-		return s.reserve + s.granted
+		return s.reserveRate + s.grantedRate
 	}
-	return s.reserve
+	return s.reserveRate
 }
 
-// burst returns how many requests may follow each other at once.
+// burst returns the capacity of the token bucket.
 func (s *share) burst(now time.Time) float64 {
-	return max(leastBurst, burstSeconds*float64(s.rate(now)), burstSeconds*leastFraction*float64(s.declared))
+	return max(minBurst, burstSeconds*float64(s.rate(now)), burstSeconds*minShareFraction*float64(s.declaredRate))
 }
 
-// setTerms takes a declared rate and the number of daemons known into use.
-func (s *share) setTerms(now time.Time, declared Rate, known int) {
+// setParameters applies a declared rate and the number of known daemons.
+func (s *share) setParameters(now time.Time, declared Rate, knownDaemons int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	first := s.declared == 0
+	isNew := s.declaredRate == 0
 	s.bucket.Refill(now, s.rate(now), s.burst(now))
-	s.declared = declared
-	s.reserve = declared * reserveFraction / Rate(max(known, 1))
-	if first {
+	s.declaredRate = declared
+	s.reserveRate = declared * reserveFraction / Rate(max(knownDaemons, 1))
+	if isNew {
 		s.bucket.Tokens = s.burst(now)
 	}
 }
 
-// admit lets a request in or refuses it with a *failure.RateLimited.
+// admit admits a request or rejects it with a *failure.RateLimited.
 func (s *share) admit(now time.Time) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.demand.add(now)
+	s.demand.observe(now)
 	rate := s.rate(now)
 	s.bucket.Refill(now, rate, s.burst(now))
 	if s.bucket.Take() {
 		return nil
 	}
-	s.short = true
-	// Where no share is granted, one is being asked for: a request that comes
-	// back soon finds it.
-	return &failure.RateLimited{Wait: s.comeback.wait(now, max(rate, s.declared*leastFraction), longestWait, s.random)}
+	s.rejectedSinceReport = true
+	// Without a granted share, the next report asks for one, so the retry delay assumes
+	// the minimum share.
+	return &failure.RateLimited{Wait: s.retryPacer.delay(now, max(rate, s.declaredRate*minShareFraction), maxRetryDelay, s.random)}
 }
 
-// due tells whether the tenant's home is to be told now, and how urgently:
-// higher goes first, 0 is not at all. A share that is idle holds nothing and
-// meets no demand.
-func (s *share) due(now time.Time) (value float64, idle bool) {
+// reportPriority returns the priority with which the tenant's owner should get a report
+// now: higher values go first, 0 means that no report is due. An idle share has no
+// demand and its grant has expired.
+func (s *share) reportPriority(now time.Time) (priority float64, idle bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	since := now.Sub(s.sent)
-	demanded := s.demand.at(now)
-	if s.number == 0 {
-		return 1 + float64(demanded), false
+	since := now.Sub(s.reportSent)
+	demand := s.demand.rateAt(now)
+	if s.reportNumber == 0 {
+		return 1 + float64(demand), false
 	}
-	if since < urgentInterval {
+	if since < minReportInterval {
 		return 0, false
 	}
-	if s.short || s.lowered || demanded > s.told*headroom+demandNoise {
-		return 1 + float64(demanded), false
+	if s.rejectedSinceReport || s.reducedSinceReport || demand > s.reportedDemand*headroomFactor+demandNoise {
+		return 1 + float64(demand), false
 	}
-	surplus := demanded+demandNoise < s.told/headroom && s.granted > s.declared*leastFraction
-	if surplus || since >= reportInterval && demanded > idleDemand {
+	surplus := demand+demandNoise < s.reportedDemand/headroomFactor && s.grantedRate > s.declaredRate*minShareFraction
+	if surplus || since >= reportInterval && demand > idleDemand {
 		return since.Seconds() / ShareLifetime.Seconds(), false
 	}
-	return 0, demanded <= idleDemand && !now.Before(s.expires)
+	return 0, demand <= idleDemand && !now.Before(s.expires)
 }
 
-// idleDemand is the demand, in requests a second, below which a tenant's share
-// is left to run out.
+// idleDemand is the demand, in requests per second, below which a share is not renewed.
 const idleDemand = Rate(0.01)
 
-// report makes the next report. What it says is held is kept to at once.
-func (s *share) report(now time.Time) Report {
+// nextReport returns the next report. The share is reduced to the reported HeldRate
+// immediately.
+func (s *share) nextReport(now time.Time) Report {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.bucket.Refill(now, s.rate(now), s.burst(now))
-	demanded := s.demand.at(now)
+	demand := s.demand.rateAt(now)
 	if !now.Before(s.expires) {
-		s.granted = 0
+		s.grantedRate = 0
 	}
-	s.granted = min(s.granted, max(headroom*demanded, leastFraction*s.declared))
-	s.number++
-	s.sent, s.told, s.short, s.lowered = now, demanded, false, false
+	s.grantedRate = min(s.grantedRate, max(headroomFactor*demand, minShareFraction*s.declaredRate))
+	s.reportNumber++
+	s.reportSent, s.reportedDemand, s.rejectedSinceReport, s.reducedSinceReport = now, demand, false, false
 	return Report{
 		Tenant:    s.tenant,
-		Number:    s.number,
-		LastGrant: s.taken,
-		Demand:    demanded,
-		HeldRate:  s.granted,
+		Number:    s.reportNumber,
+		LastGrant: s.lastGrant,
+		Demand:    demand,
+		HeldRate:  s.grantedRate,
 	}
 }
 
-// take takes a grant into use. One that does not answer the last report has a
-// lifetime that is not known here, and is ignored.
-func (s *share) take(now time.Time, grant Grant) {
+// apply puts a grant into effect. A grant that does not answer the last report is
+// ignored, because its expiry is unknown here.
+func (s *share) apply(now time.Time, grant Grant) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if grant.ReportNumber != s.number || grant.Number <= s.taken {
+	if grant.ReportNumber != s.reportNumber || grant.Number <= s.lastGrant {
 		return
 	}
 	s.bucket.Refill(now, s.rate(now), s.burst(now))
-	s.lowered = now.Before(s.expires) && grant.Rate < s.granted
-	s.taken = grant.Number
-	s.granted = min(grant.Rate, s.declared)
-	s.expires = s.sent.Add(ShareLifetime)
+	s.reducedSinceReport = now.Before(s.expires) && grant.Rate < s.grantedRate
+	s.lastGrant = grant.Number
+	s.grantedRate = min(grant.Rate, s.declaredRate)
+	s.expires = s.reportSent.Add(ShareLifetime)
 }
--- a/internal/limit/ticket.go
+++ b/internal/limit/ticket.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Ticket is held by an admitted request while it is under way. It is safe for
+// Ticket represents an admitted request while it is in flight. It is safe for
 // concurrent use.
 type Ticket struct {
-	admitter *Admitter
-	tenant   *tenantLoad
-	class    Class
-	admitted time.Time
-	first    atomic.Bool
-	done     atomic.Bool
+	admitter       *Admitter
+	tenant         *tenantLoad
+	class          Class
+	admitted       time.Time
+	firstTokenSeen atomic.Bool
+	done           atomic.Bool
 }
 
-// FirstToken tells that the first part of a model's answer came. It is not to be
-// called for tools, whose delay is their own.
+// FirstToken records the arrival of the first token of a model's answer. It must not be
+// called for tools, because a tool's latency does not depend on this limit.
 func (t *Ticket) FirstToken(now time.Time) {
-	if t.first.Swap(true) {
+	if t.firstTokenSeen.Swap(true) {
 		return
 	}
 	a := t.admitter
-	delay := now.Sub(t.admitted)
+	latency := now.Sub(t.admitted)
 	a.samples.Add(1)
-	if delay > a.config.TargetFirstTokenLatency {
-		a.late.Add(1)
+	if latency > a.config.TargetFirstTokenLatency {
+		a.overTarget.Add(1)
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	// An exponential average over about ten samples.
-	const newPart = 0.1
-	a.firstPart += time.Duration(newPart * float64(delay-a.firstPart))
+	// Exponential moving average over about ten samples.
+	const smoothing = 0.1
+	a.firstTokenLatency += time.Duration(smoothing * float64(latency-a.firstTokenLatency))
 }
 
-// Done gives the ticket back. Later calls change nothing.
+// Done ends the request. Only the first call has an effect.
 func (t *Ticket) Done(now time.Time, outcome Outcome) {
 	if t.done.Swap(true) {
 		return
@@ -43,25 +43,26 @@
 	a := t.admitter
 	t.tenant.inFlight.Add(-1)
 	if t.class == ClassProgramStart {
-		// The program's first call comes soon: its place is kept until the
-		// window ends, or all who come in a quiet moment would be let in.
-		a.opened.Add(1)
-		a.roll(now)
+		// The program's first call follows soon, so its start counts as in flight until
+		// the window ends. Otherwise every start that arrives in a quiet moment would
+		// be admitted.
+		a.retainedStarts.Add(1)
+		a.rollWindow(now)
 		return
 	}
 	a.inFlight.Add(-1)
 	switch outcome {
 	case OutcomeCompleted:
-		a.done.Add(1)
+		a.completions.Add(1)
 	case OutcomeOverloaded:
 		a.overloads.Add(1)
 	}
-	a.roll(now)
+	a.rollWindow(now)
 }
 
-// roll ends the window if its time is over, and judges it.
-func (a *Admitter) roll(now time.Time) {
-	if now.UnixNano() < a.ends.Load() {
+// rollWindow ends the window if its time has passed, and updates the limit from it.
+func (a *Admitter) rollWindow(now time.Time) {
+	if now.UnixNano() < a.windowEndNanos.Load() {
 		return
 	}
 	a.mutex.Lock()
@@ -69,40 +70,42 @@
 	if now.Before(a.windowEnd) {
 		return
 	}
-	a.inFlight.Add(-a.opened.Swap(0))
+	a.inFlight.Add(-a.retainedStarts.Swap(0))
 	elapsed := now.Sub(a.windowEnd) + windowLength
-	done := a.done.Swap(0)
-	// The rate of ends, averaged over about five windows.
-	const newPart = 0.2
-	a.doneRate += newPart * (Rate(float64(done)/elapsed.Seconds()) - a.doneRate)
-	a.judge()
-	a.weights.Store(a.rollTenants())
+	completions := a.completions.Swap(0)
+	// Exponential moving average of the completion rate over about five windows.
+	const smoothing = 0.2
+	a.completionRate += smoothing * (Rate(float64(completions)/elapsed.Seconds()) - a.completionRate)
+	a.updateLimit()
+	a.totalWeight.Store(a.sumActiveWeights())
 	a.windowEnd = now.Add(windowLength)
-	a.ends.Store(a.windowEnd.UnixNano())
+	a.windowEndNanos.Store(a.windowEnd.UnixNano())
 }
 
-// judge adds what was seen to what was not yet judged, and sets the limit once
-// there are delays enough. A daemon with few calls judges more rarely.
-func (a *Admitter) judge() {
-	a.seen.samples += int(a.samples.Swap(0))
-	a.seen.late += int(a.late.Swap(0))
-	a.seen.overloads += int(a.overloads.Swap(0))
-	a.seen.peak = max(a.seen.peak, int(a.peak.Swap(a.inFlight.Load())))
-	a.seen.length++
-	if a.seen.samples+a.seen.overloads < fewestSamples && a.seen.length < mostWindows {
+// updateLimit adds the counters of the ended window to the pending ones, and computes a
+// new limit once there are enough samples. A daemon with few calls updates the limit
+// less often.
+func (a *Admitter) updateLimit() {
+	a.pending.samples += int(a.samples.Swap(0))
+	a.pending.overTarget += int(a.overTarget.Swap(0))
+	a.pending.overloads += int(a.overloads.Swap(0))
+	a.pending.peakInFlight = max(a.pending.peakInFlight, int(a.peakInFlight.Swap(a.inFlight.Load())))
+	a.pending.windows++
+	if a.pending.samples+a.pending.overloads < minSamples && a.pending.windows < maxWindows {
 		return
 	}
-	a.adaptive = a.adaptive.next(a.seen, float64(a.config.MinLimit), float64(a.config.MaxLimit))
+	a.adaptive = a.adaptive.next(a.pending, float64(a.config.MinLimit), float64(a.config.MaxLimit))
 	a.limit.Store(int64(a.adaptive.limit))
-	a.seen = window{}
+	a.pending = window{}
 }
 
-// rollTenants sums the weights of the tenants that ask, and forgets the others.
-func (a *Admitter) rollTenants() uint64 {
+// sumActiveWeights returns the sum of the weights of active tenants and removes the
+// others.
+func (a *Admitter) sumActiveWeights() uint64 {
 	sum := uint64(0)
-	a.tenants.Range(func(id, found any) bool {
-		load := found.(*tenantLoad)
-		if load.asked.Swap(0) > 0 || load.inFlight.Load() > 0 {
+	a.tenants.Range(func(id, value any) bool {
+		load := value.(*tenantLoad)
+		if load.requests.Swap(0) > 0 || load.inFlight.Load() > 0 {
 			sum += load.weight.Load()
 		} else {
 			a.tenants.Delete(id)
--- a/internal/limit/wire.go
+++ b/internal/limit/wire.go
@@ -10,10 +10,10 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// wireScale is the number of a rate's units on the wire in one request a second.
+// wireScale is the number of wire units in one request per second.
 const wireScale = 1000
 
-// ToProto returns the message as it travels.
+// ToProto returns the wire form of the message.
 func (m Message) ToProto() *limitv1.Message {
 	wire := &limitv1.Message{Node: string(m.From.Node), Incarnation: uint64(m.From.Incarnation)}
 	for _, report := range m.Reports {
@@ -22,7 +22,7 @@
 			Number: report.Number,
 			Taken:  report.LastGrant,
 			Demand: wireRate(report.Demand, math.Round),
-			// A home must never think less held than is.
+			// Rounds up: an owner must never underestimate a held share.
 			Held: wireRate(report.HeldRate, math.Ceil),
 		})
 	}
@@ -32,14 +32,14 @@
 			Incarnation: uint64(grant.Incarnation),
 			Report:      grant.ReportNumber,
 			Number:      grant.Number,
-			// A holder must never use more than was granted.
+			// Rounds down: a holder must never use more than was granted.
 			Rate: wireRate(grant.Rate, math.Floor),
 		})
 	}
 	return wire
 }
 
-// MessageFromProto returns the message that travelled.
+// MessageFromProto returns the message of its wire form.
 func MessageFromProto(wire *limitv1.Message) Message {
 	message := Message{
 		From: Holder{Node: structs.NodeID(wire.GetNode()), Incarnation: structs.Incarnation(wire.GetIncarnation())},
@@ -65,7 +65,7 @@
 	return message
 }
 
-// MarshalBinary encodes the message for another daemon.
+// MarshalBinary encodes the message for transmission to another daemon.
 func (m Message) MarshalBinary() ([]byte, error) {
 	return proto.Marshal(m.ToProto())
 }
--- a/internal/limit/wire_test.go
+++ b/internal/limit/wire_test.go
@@ -33,7 +33,7 @@
 		require.Equal(t, sent.From, got.From)
 		require.Len(t, got.Reports, len(sent.Reports))
 		for i, report := range sent.Reports {
-			// Rounding never lets a share seem smaller than it is.
+			// Rounding never makes a held share smaller than it is.
 			require.GreaterOrEqual(t, float64(got.Reports[i].HeldRate), float64(report.HeldRate)-1e-9)
 			require.InDelta(t, float64(report.HeldRate), float64(got.Reports[i].HeldRate), 0.001)
 			require.InDelta(t, float64(report.Demand), float64(got.Reports[i].Demand), 0.001)
