--- a/internal/placement/domain.go
+++ b/internal/placement/domain.go
@@ -8,38 +8,38 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// domainSeparator joins the zones of a domain into its name.
+// domainSeparator separates the zones in a domain's name.
 const domainSeparator = "+"
 
-// ExtendDomains returns the placement domains of the declarations: previous, as it
-// was, followed by a domain for each set of history zones that has none yet.
-// Program ids carry shard numbers, so a domain keeps its range for ever, also
-// when no program names its zones any more or ShardsPerDomain changes.
+// ExtendDomains returns the placement domains of the declarations: the previous domains
+// unchanged, followed by a new domain for each set of history zones that has none yet.
+// Program IDs contain shard numbers, so a domain keeps its shard range permanently,
+// even if no program declares its zones any more or ShardsPerDomain changes.
 func ExtendDomains(d structs.Declarations, previous []structs.Domain) []structs.Domain {
 	domains := slices.Clone(previous)
-	next := structs.ShardID(0)
+	nextShard := structs.ShardID(0)
 	known := map[string]bool{}
 	for _, domain := range previous {
 		known[domainName(domain.Zones)] = true
-		next = max(next, domain.FirstShard+structs.ShardID(domain.ShardCount))
+		nextShard = max(nextShard, domain.FirstShard+structs.ShardID(domain.ShardCount))
 	}
 	for _, zones := range zoneSets(d.Programs) {
 		if known[domainName(zones)] {
 			continue
 		}
 		count := max(d.Deployment.ShardsPerDomain, 1)
-		domain := structs.Domain{Name: domainName(zones), Zones: zones, FirstShard: next, ShardCount: count}
+		domain := structs.Domain{Name: domainName(zones), Zones: zones, FirstShard: nextShard, ShardCount: count}
 		domains = append(domains, domain)
-		next += structs.ShardID(count)
+		nextShard += structs.ShardID(count)
 	}
 	return domains
 }
 
-// zoneSets returns the distinct sets of history zones, sorted by name.
+// zoneSets returns the distinct sets of history zones of the programs, sorted by name.
 func zoneSets(programs []structs.AgentProgram) [][]structs.ZoneName {
 	sets := map[string][]structs.ZoneName{}
-	for _, declared := range programs {
-		zones := sortedZones(declared.HistoryZones)
+	for _, program := range programs {
+		zones := sortedZones(program.HistoryZones)
 		if len(zones) > 0 {
 			sets[domainName(zones)] = zones
 		}
@@ -60,7 +60,7 @@
 	return strings.ReplaceAll(joinZones(sortedZones(zones)), ",", domainSeparator)
 }
 
-// DomainOfShard returns the domain that the shard belongs to.
+// DomainOfShard returns the domain that contains the shard.
 func DomainOfShard(domains []structs.Domain, shard structs.ShardID) (structs.Domain, bool) {
 	for _, domain := range domains {
 		if shard >= domain.FirstShard && shard-domain.FirstShard < structs.ShardID(domain.ShardCount) {
@@ -70,10 +70,10 @@
 	return structs.Domain{}, false
 }
 
-// DomainOfZones returns the domain whose zones are exactly those permitted. There
-// is one from the moment that a declaration names the set, and it never
-// changes, so a repeated opening finds the same program whatever was declared
-// in between. The error is a *failure.NoPermittedPlace.
+// DomainOfZones returns the domain whose zones are exactly the permitted ones. The
+// domain exists as soon as a declaration contains the set, and never changes, so a
+// retried program start finds the same program regardless of declarations in between.
+// The error is a *failure.NoPermittedPlace.
 func DomainOfZones(domains []structs.Domain, permitted []structs.ZoneName) (structs.Domain, error) {
 	name := domainName(permitted)
 	for _, domain := range domains {
@@ -84,8 +84,8 @@
 	return structs.Domain{}, &failure.NoPermittedPlace{What: string(History), Zones: joinZones(permitted)}
 }
 
-// Restricted reports whether data of the domain may rest only where the policy
-// permits history.
+// CheckDomain returns an error unless the policy permits history in every zone of the
+// domain.
 func CheckDomain(policy Policy, domain structs.Domain) error {
 	for _, zone := range domain.Zones {
 		if err := Check(policy, History, zone); err != nil {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -14,7 +14,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict; the flag
+// TestMain sets a fixed seed for rapid, so that test results are reproducible; the flag
 // -rapid.seed overrides it.
 func TestMain(m *testing.M) { fuzzseed.Main(m, fuzzseed.Seed("20260102")) }
 
@@ -32,7 +32,7 @@
 			}
 			require.Equal(t, &failure.NoPermittedPlace{What: string(data), Zones: joinZones(zones)}, err)
 		}
-		require.Error(t, Check(Policy{}, data, ""), "no zones permit nothing")
+		require.Error(t, Check(Policy{}, data, ""), "a policy without zones permits nothing")
 	}
 }
 
@@ -97,12 +97,12 @@
 	return zones
 }
 
-func distinct(nodes []*structs.Node) int {
-	zones := map[structs.ZoneName]bool{}
+func countZones(nodes []*structs.Node) int {
+	distinctZones := map[structs.ZoneName]bool{}
 	for _, node := range nodes {
-		zones[node.Zone] = true
+		distinctZones[node.Zone] = true
 	}
-	return len(zones)
+	return len(distinctZones)
 }
 
 func hasDisk(node structs.Node) bool { return node.HasDisk }
@@ -129,37 +129,37 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawFleet(t)
 		domain := wholeDomain(rapid.IntRange(1, 4).Draw(t, "zones"))
-		free := candidates(domain, nodes)
-		chosen := SelectReplicas(domain, 5, nodes, 3)
-		require.Len(t, chosen, min(3, len(free)))
-		require.Len(t, zonesOf(chosen), min(3, distinct(free)), "different zones first")
-		require.Equal(t, slices.ContainsFunc(free, func(n *structs.Node) bool { return n.HasDisk }), slices.ContainsFunc(chosen, hasDisk))
-		ids := idsOf(chosen)
+		available := candidates(domain, nodes)
+		selected := SelectReplicas(domain, 5, nodes, 3)
+		require.Len(t, selected, min(3, len(available)))
+		require.Len(t, zonesOf(selected), min(3, countZones(available)), "members are in different zones if possible")
+		require.Equal(t, slices.ContainsFunc(available, func(n *structs.Node) bool { return n.HasDisk }), slices.ContainsFunc(selected, hasDisk))
+		ids := idsOf(selected)
 		slices.Sort(ids)
-		require.Len(t, slices.Compact(ids), len(chosen), "different machines")
-		for _, node := range chosen {
+		require.Len(t, slices.Compact(ids), len(selected), "members are on different machines")
+		for _, node := range selected {
 			require.True(t, domain.Permits(node.Zone))
-			require.True(t, usable(&node))
+			require.True(t, isUsable(&node))
 		}
 		rand.New(rand.NewPCG(1, 2)).Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-		require.Equal(t, chosen, SelectReplicas(domain, 5, nodes, 3), "the order of the view does not matter")
+		require.Equal(t, selected, SelectReplicas(domain, 5, nodes, 3), "the result does not depend on the order of the nodes")
 	})
 }
 
 func TestReplicasAreStableAndEvenlyDistributed(t *testing.T) {
 	nodes, domain := fleet(170, 17), wholeDomain(17)
-	gone := nodes[42]
-	fewer := slices.DeleteFunc(slices.Clone(nodes), func(n structs.Node) bool { return n.ID == gone.ID })
-	load := map[structs.NodeID]int{}
+	removed := nodes[42]
+	fewer := slices.DeleteFunc(slices.Clone(nodes), func(n structs.Node) bool { return n.ID == removed.ID })
+	shardsOfNode := map[structs.NodeID]int{}
 	moved := 0
 	for shard := structs.ShardID(0); shard < 3000; shard++ {
 		before, after := SelectReplicas(domain, shard, nodes, 3), SelectReplicas(domain, shard, fewer, 3)
 		for _, node := range before {
 			if !node.HasDisk {
-				load[node.ID]++
+				shardsOfNode[node.ID]++
 			}
 		}
-		if !slices.Contains(idsOf(before), gone.ID) {
+		if !slices.Contains(idsOf(before), removed.ID) {
 			require.Equal(t, before, after, "shard %d lost no member", shard)
 			continue
 		}
@@ -168,7 +168,7 @@
 	require.Positive(t, moved)
 	require.Less(t, moved, 3000*3*2/170)
 	mean := 3000 * 2 / 153
-	for id, shards := range load {
+	for id, shards := range shardsOfNode {
 		require.Less(t, shards, mean*2, "load of %s", id)
 		require.Greater(t, shards, mean/2, "load of %s", id)
 	}
@@ -184,29 +184,29 @@
 				current = append(current, node.ID)
 			}
 		}
-		wanted := DesiredMembers(domain, 5, current, nodes, 3)
-		require.GreaterOrEqual(t, len(wanted), min(3, len(current)), "a group is not made smaller")
-		require.LessOrEqual(t, len(wanted), 3, "a change does not make it larger for good")
-		free := len(candidates(domain, nodes))
-		for _, node := range wanted {
+		desired := DesiredMembers(domain, 5, current, nodes, 3)
+		require.GreaterOrEqual(t, len(desired), min(3, len(current)), "a group does not shrink")
+		require.LessOrEqual(t, len(desired), 3, "a group does not exceed its size")
+		available := len(candidates(domain, nodes))
+		for _, node := range desired {
 			require.True(t, domain.Permits(node.Zone))
-			if !usable(&node) {
+			if !isUsable(&node) {
 				require.Contains(t, current, node.ID)
-				require.Less(t, free, 3, "a lost member stays only where none can take its place")
+				require.Less(t, available, 3, "a lost member remains only if no daemon can replace it")
 			}
 		}
-		staying, _ := split(current, indexNodes(nodes))
-		for _, node := range staying {
-			require.True(t, len(staying) > 3 || slices.Contains(idsOf(wanted), node.ID))
+		usable, _ := splitUsable(current, indexNodes(nodes))
+		for _, node := range usable {
+			require.True(t, len(usable) > 3 || slices.Contains(idsOf(desired), node.ID))
 		}
-		require.Equal(t, wanted, DesiredMembers(domain, 5, idsOf(wanted), nodes, 3), "the wish is stable")
+		require.Equal(t, desired, DesiredMembers(domain, 5, idsOf(desired), nodes, 3), "the desired members are stable")
 	})
 }
 
 func TestDesiredMembersWaitForLostZone(t *testing.T) {
 	nodes, domain := fleet(6, 3), wholeDomain(1)
 	current := idsOf(SelectReplicas(domain, 5, nodes, 3))
-	require.Len(t, current, 2, "one zone, two machines")
+	require.Len(t, current, 2, "one zone with two machines")
 	for i := range nodes {
 		if nodes[i].Zone == "zone-0" {
 			nodes[i].State = structs.NodeDead
@@ -217,18 +217,18 @@
 
 func TestDesiredMembersIgnoreViewWithoutMajority(t *testing.T) {
 	nodes, domain := fleet(6, 3), wholeDomain(3)
-	strangers := []structs.NodeID{"x", "y", nodes[0].ID}
-	require.ElementsMatch(t, strangers, idsOf(DesiredMembers(domain, 5, strangers, nodes, 3)))
-	majority := []structs.NodeID{"x", nodes[1].ID, nodes[0].ID}
-	require.NotContains(t, idsOf(DesiredMembers(domain, 5, majority, nodes, 3)), structs.NodeID("x"))
+	unknownMembers := []structs.NodeID{"x", "y", nodes[0].ID}
+	require.ElementsMatch(t, unknownMembers, idsOf(DesiredMembers(domain, 5, unknownMembers, nodes, 3)))
+	visibleMajority := []structs.NodeID{"x", nodes[1].ID, nodes[0].ID}
+	require.NotContains(t, idsOf(DesiredMembers(domain, 5, visibleMajority, nodes, 3)), structs.NodeID("x"))
 }
 
 func TestDaemonWithTwoIncarnationsCountsOnce(t *testing.T) {
 	nodes, domain := fleet(9, 3), wholeDomain(3)
 	restarted := []structs.NodeID{"node-1", "node-1", "node-0"}
-	wanted := idsOf(DesiredMembers(domain, 5, restarted, nodes, 3))
-	slices.Sort(wanted)
-	require.Len(t, slices.Compact(wanted), 3)
+	desired := idsOf(DesiredMembers(domain, 5, restarted, nodes, 3))
+	slices.Sort(desired)
+	require.Len(t, slices.Compact(desired), 3)
 	whole := []structs.NodeID{"node-1", "node-0", "node-2", "node-1"}
 	require.ElementsMatch(t, whole[:3], idsOf(DesiredMembers(domain, 5, whole, nodes, 3)))
 	require.ElementsMatch(t, whole[:3], idsOf(ImproveZoneSpread(domain, 5, whole, nodes)))
@@ -239,7 +239,7 @@
 	current := []structs.NodeID{"node-0", "node-3", "node-1"}
 	spread := ImproveZoneSpread(domain, 5, current, nodes)
 	require.Len(t, zonesOf(spread), 3)
-	require.Contains(t, idsOf(spread), structs.NodeID("node-1"), "one exchange at most")
+	require.Contains(t, idsOf(spread), structs.NodeID("node-1"), "at most one member is replaced")
 	require.ElementsMatch(t, idsOf(spread), idsOf(ImproveZoneSpread(domain, 5, idsOf(spread), nodes)))
 	nodes[1].State = structs.NodeSuspect
 	nodes[3].State = structs.NodeDead
--- a/internal/placement/permit.go
+++ b/internal/placement/policy.go
@@ -1,6 +1,6 @@
-// Package placement decides where regulated data may rest and which daemons
-// hold a shard. It is pure: the same arguments give the same answer on every
-// daemon.
+// Package placement decides in which zones regulated data may be stored and which
+// daemons replicate a shard. Its functions are pure: the same arguments give the same
+// result on every daemon.
 package placement
 
 import (
@@ -11,35 +11,36 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// DataKind is a kind of data that rests or arrives somewhere.
+// DataKind is a kind of data that is stored in or sent to a zone.
 type DataKind string
 
 // The kinds of data.
 const (
-	// History is a journal copy: a replica's memory, its disk, a snapshot.
+	// History is a copy of the journal: in a replica's memory, on its disk, or in a
+	// snapshot.
 	History DataKind = "history"
-	// Cache is an engine's prefix cache, with the prompt that fills it.
+	// Cache is an engine's prefix cache and the prompt that fills it.
 	Cache DataKind = "cache"
-	// KVExport is cache on its way into another engine.
+	// KVExport is KV cache in transfer to another engine.
 	KVExport DataKind = "kv_export"
-	// ToolArguments are what a tool service receives.
+	// ToolArguments are the arguments that a tool service receives.
 	ToolArguments DataKind = "tool_arguments"
-	// LogText is a log line that shows a program's text.
+	// LogText is a log line that contains a program's text.
 	LogText DataKind = "log_text"
 )
 
-// Policy is where one program's data may rest.
+// Policy is the list of zones in which a program's data may be stored.
 type Policy struct {
 	HistoryZones []structs.ZoneName
 	CacheZones   []structs.ZoneName
 }
 
-// Check is the one decision on residency: whether the data may rest in the
-// zone. It returns nil or a *failure.NoPermittedPlace. A policy without zones
-// permits nothing.
+// Check returns nil if the data may be stored in the zone, and a
+// *failure.NoPermittedPlace otherwise. A policy without zones permits nothing. All data
+// residency decisions by zone use this function.
 //
-// A tool may stand wherever the program's history or its cache may rest: both
-// hold the text of the arguments.
+// A tool may run in any zone in which the program's history or cache may be stored,
+// because both contain the text of the arguments.
 func Check(policy Policy, data DataKind, zone structs.ZoneName) error {
 	permitted := policy.zones(data)
 	if slices.Contains(permitted, zone) {
@@ -48,7 +49,7 @@
 	return &failure.NoPermittedPlace{What: string(data), Zones: joinZones(permitted)}
 }
 
-// zones returns where the data may rest; nowhere, for data of no known kind.
+// zones returns the zones in which the data may be stored; none for an unknown kind.
 func (p Policy) zones(data DataKind) []structs.ZoneName {
 	switch data {
 	case History, LogText:
@@ -62,7 +63,7 @@
 	}
 }
 
-// sortedZones returns the zones of all lists, sorted, each once.
+// sortedZones returns the zones of all lists, sorted and without duplicates.
 func sortedZones(lists ...[]structs.ZoneName) []structs.ZoneName {
 	zones := slices.Concat(lists...)
 	slices.Sort(zones)
--- a/internal/placement/regions_test.go
+++ b/internal/placement/region_policy_test.go
@@ -25,7 +25,7 @@
 	return policy
 }
 
-// permittedZones is the oracle: it lists the zones that a policy permits.
+// permittedZones is the oracle: it returns the zones that a policy permits.
 func permittedZones(policy RegionPolicy, zones ...string) map[string]bool {
 	permitted := make(map[string]bool)
 	for _, zone := range zones {
@@ -33,8 +33,8 @@
 			permitted[zone] = true
 		}
 		for _, region := range policy.Permitted {
-			for named, its := range policy.RegionOf {
-				if named == zone && its == region && its != "" {
+			for zoneName, itsRegion := range policy.RegionOf {
+				if zoneName == zone && itsRegion == region && itsRegion != "" {
 					permitted[zone] = true
 				}
 			}
@@ -50,34 +50,33 @@
 		expected := permittedZones(policy, zones...)
 		for _, zone := range zones {
 			require.Equal(t, expected[zone], policy.Permits(zone))
-			for _, data := range bodies {
+			for _, data := range requestDataKinds {
 				err := policy.Check(data, zone)
 				if expected[zone] {
 					require.NoError(t, err)
 					continue
 				}
-				var refused *failure.NoPermittedPlace
-				require.ErrorAs(t, err, &refused)
-				require.Equal(t, string(data), refused.What)
-				require.Equal(t, failure.NotRun, refused.Outcome())
-				require.Positive(t, refused.Retry().After)
+				var denied *failure.NoPermittedPlace
+				require.ErrorAs(t, err, &denied)
+				require.Equal(t, string(data), denied.What)
+				require.Equal(t, failure.NotRun, denied.Outcome())
+				require.Positive(t, denied.Retry().After)
 			}
 			require.Equal(t, policy.Permitted == nil, policy.Check("of_no_known_kind", zone) == nil)
 		}
 	})
 }
 
-// TestExcludesAnyRegion: where nothing is excluded, all zones
-// that are named with a region are permitted.
+// If no region is excluded, every zone with a region is permitted.
 func TestExcludesAnyRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		policy := drawPolicy(t)
-		all := true
+		allPermitted := true
 		for zone := range policy.RegionOf {
-			all = all && policy.Permits(zone)
+			allPermitted = allPermitted && policy.Permits(zone)
 		}
-		confinedWithoutZones := policy.Permitted != nil && len(policy.RegionOf) == 0
-		require.Equal(t, !all || confinedWithoutZones, policy.ExcludesAnyRegion())
+		restrictedWithoutZones := policy.Permitted != nil && len(policy.RegionOf) == 0
+		require.Equal(t, !allPermitted || restrictedWithoutZones, policy.ExcludesAnyRegion())
 	})
 }
 
--- a/internal/placement/replicas.go
+++ b/internal/placement/replicas.go
@@ -9,48 +9,48 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// SelectReplicas chooses the daemons of a new replica group: at most size of those
-// in the domain that are neither leaving nor dead. One has a disk where any
-// has; zones that hold none yet go first. Within that, each shard ranks the
-// daemons by a hash of its own, so that shards spread evenly and a daemon that
-// comes or goes concerns few shards.
+// SelectReplicas selects the daemons of a new replica group: up to size daemons of the
+// domain that are neither leaving nor dead. The group includes a daemon with a disk if
+// there is one, and zones without a member have precedence. Apart from that, each shard
+// ranks the daemons by its own hash, so that shards are distributed evenly and a daemon
+// that joins or leaves affects few shards.
 func SelectReplicas(domain structs.Domain, shard structs.ShardID, nodes []structs.Node, size int) []structs.Node {
-	chosen := newSelection(shard, candidates(domain, nodes))
-	chosen.fill(size)
-	return chosen.members
+	group := newSelection(shard, candidates(domain, nodes))
+	group.fill(size)
+	return group.members
 }
 
-// candidates returns the daemons that may be given a copy.
+// candidates returns the usable daemons in permitted zones.
 func candidates(domain structs.Domain, nodes []structs.Node) []*structs.Node {
 	policy := Policy{HistoryZones: domain.Zones}
-	verdicts := map[structs.ZoneName]bool{}
+	permittedZones := map[structs.ZoneName]bool{}
 	permitted := make([]*structs.Node, 0, len(nodes))
 	for i := range nodes {
 		node := &nodes[i]
-		verdict, asked := verdicts[node.Zone]
-		if !asked {
-			verdict = Check(policy, History, node.Zone) == nil
-			verdicts[node.Zone] = verdict
+		isPermitted, known := permittedZones[node.Zone]
+		if !known {
+			isPermitted = Check(policy, History, node.Zone) == nil
+			permittedZones[node.Zone] = isPermitted
 		}
-		if verdict && usable(node) {
+		if isPermitted && isUsable(node) {
 			permitted = append(permitted, node)
 		}
 	}
 	return permitted
 }
 
-// usable reports whether the daemon is a member for now. A suspect is: moving
-// its copies before it is declared dead would cost more than waiting.
-func usable(node *structs.Node) bool {
+// isUsable reports whether the daemon counts as a member. A suspected daemon does,
+// because moving its replicas before it is declared dead would cost more than waiting.
+func isUsable(node *structs.Node) bool {
 	return node.State == structs.NodeAlive || node.State == structs.NodeSuspect
 }
 
-// selection is a replica group in the making.
+// selection is a replica group under construction.
 type selection struct {
-	members []structs.Node
-	perZone map[structs.ZoneName]int
-	hasDisk bool
-	// ranked are the candidates not chosen.
+	members        []structs.Node
+	membersPerZone map[structs.ZoneName]int
+	hasDisk        bool
+	// ranked are the candidates that are not selected yet.
 	ranked []rankedNode
 }
 
@@ -64,49 +64,50 @@
 	for i, node := range nodes {
 		ranked[i] = rankedNode{Node: node, rank: rank(shard, node.ID)}
 	}
-	return &selection{perZone: map[structs.ZoneName]int{}, ranked: ranked}
+	return &selection{membersPerZone: map[structs.ZoneName]int{}, ranked: ranked}
 }
 
-// rank is the daemon's rendezvous weight for the shard.
+// rank returns the daemon's rendezvous hash for the shard.
 func rank(shard structs.ShardID, node structs.NodeID) uint64 {
 	key := make([]byte, 0, 64)
 	key = binary.LittleEndian.AppendUint32(key, uint32(shard))
 	return xxhash.Sum64(append(key, node...))
 }
 
-// keep takes a present member over.
-func (s *selection) keep(node structs.Node) {
+// add adds a member to the group and removes it from the candidates.
+func (s *selection) add(node structs.Node) {
 	s.members = append(s.members, node)
-	s.perZone[node.Zone]++
+	s.membersPerZone[node.Zone]++
 	s.hasDisk = s.hasDisk || node.HasDisk
 	s.ranked = slices.DeleteFunc(s.ranked, func(other rankedNode) bool { return other.ID == node.ID })
 }
 
-// fill adds the best candidates until the group has size members or none is left.
+// fill adds the best candidates until the group has size members or no candidate is
+// left.
 func (s *selection) fill(size int) {
 	for len(s.members) < size && len(s.ranked) > 0 {
-		s.keep(*s.best().Node)
+		s.add(*s.best().Node)
 	}
 }
 
-// best returns the candidate to add next: with a disk while the group has
-// none, then of the zone with the fewest members, then of the highest rank.
+// best returns the candidate to add next: one with a disk while the group has none,
+// then one of the zone with the fewest members, then the one with the highest rank.
 func (s *selection) best() rankedNode {
 	best := s.ranked[0]
 	for _, candidate := range s.ranked[1:] {
-		if s.before(candidate, best) {
+		if s.isBetter(candidate, best) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-func (s *selection) before(a, b rankedNode) bool {
+func (s *selection) isBetter(a, b rankedNode) bool {
 	if !s.hasDisk && a.HasDisk != b.HasDisk {
 		return a.HasDisk
 	}
-	if s.perZone[a.Zone] != s.perZone[b.Zone] {
-		return s.perZone[a.Zone] < s.perZone[b.Zone]
+	if s.membersPerZone[a.Zone] != s.membersPerZone[b.Zone] {
+		return s.membersPerZone[a.Zone] < s.membersPerZone[b.Zone]
 	}
 	if a.rank != b.rank {
 		return a.rank > b.rank
--- a/internal/plan/benchmark_test.go
+++ b/internal/plan/benchmark_test.go
@@ -10,36 +10,36 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// BenchmarkPlan reads the files of each example, checks them and plans the
-// drain of a zone; "target" plans it at the size of the project's target.
+// BenchmarkPlan loads the declarations of each example, validates them and plans the
+// drain of a zone; "target" plans it at the project's target size.
 func BenchmarkPlan(b *testing.B) {
 	for _, name := range []string{"voltkai", "hofbauer"} {
 		b.Run(name, func(b *testing.B) {
-			base := load(b, name)
+			base := loadExample(b, name)
 			for b.Loop() {
-				wanted, err := declaration.Load("../../deploy/" + name)
+				desired, err := declaration.Load("../../deploy/" + name)
 				require.NoError(b, err)
-				planDrain(b, base, wanted)
+				planDrain(b, base, desired)
 			}
 		})
 	}
 	b.Run("target", func(b *testing.B) {
 		base := targetDeclarations()
 		for b.Loop() {
-			wanted := clone(b, base)
-			planDrain(b, base, wanted)
+			desired := clone(b, base)
+			planDrain(b, base, desired)
 		}
 	})
 }
 
-func planDrain(b *testing.B, base, wanted structs.Declarations) {
+func planDrain(b *testing.B, base, desired structs.Declarations) {
 	nodes := daemons(base)
 	if len(base.Zones) > 4 {
 		nodes = manyDaemons(base, 1500)
 	}
-	wanted.Zones[0].Draining = true
-	made := New(Input{Active: inForce(base), Desired: wanted, Usage: voltkaiUse(), Nodes: nodes, Now: now})
-	require.Len(b, made.Differences, 1)
+	desired.Zones[0].Draining = true
+	plan := New(Input{Active: activeConfiguration(base), Desired: desired, Usage: voltkaiUsage(), Nodes: nodes, Now: now})
+	require.Len(b, plan.Differences, 1)
 }
 
 func manyDaemons(declarations structs.Declarations, count int) []structs.Node {
@@ -51,8 +51,8 @@
 	return nodes
 }
 
-// targetDeclarations has 17 zones, 11,000 engines, 7,700 tenants, 3 models and
-// 60 programs in 17 placement domains.
+// targetDeclarations returns declarations with 17 zones, 11,000 engines, 7,700 tenants,
+// 3 models and 60 programs in 17 placement domains.
 func targetDeclarations() structs.Declarations {
 	const zones, engines, tenants, models, programs = 17, 11_000, 7_700, 3, 60
 	d := structs.Declarations{Deployment: structs.Deployment{Name: "target", ShardsPerDomain: 64, Replicas: 3, WeightStoreBytesPerSecond: 1e9}}
--- a/internal/plan/consequence.go
+++ b/internal/plan/consequence.go
@@ -6,97 +6,98 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// ConsequenceKind says what a plan would cause.
+// ConsequenceKind is the kind of a Consequence.
 type ConsequenceKind string
 
-// The kinds of consequences.
+// Kinds of consequences.
 const (
-	// LoadWeights: engines fetch weights from the weight store.
+	// LoadWeights: engines load weights from the weight store.
 	LoadWeights ConsequenceKind = "load"
-	// UnloadWeights: engines give weights up.
+	// UnloadWeights: engines unload weights.
 	UnloadWeights ConsequenceKind = "unload"
-	// DrainEngines: engines or a zone finish what they have and take nothing new.
+	// DrainEngines: engines or a zone finish their work and accept no new work.
 	DrainEngines ConsequenceKind = "drain"
-	// MoveReplicas: journal replicas change machines.
+	// MoveReplicas: journal replicas move to other machines.
 	MoveReplicas ConsequenceKind = "move"
-	// RejectRequests: requests that are taken now would be refused.
+	// RejectRequests: requests that are accepted now would be rejected.
 	RejectRequests ConsequenceKind = "refuse"
-	// InsufficientCapacity: what is wanted has no room now.
+	// InsufficientCapacity: there is currently not enough capacity for the desired
+	// state.
 	InsufficientCapacity ConsequenceKind = "lack_capacity"
-	// ChangeSettings: programs under way go on under other terms.
+	// ChangeSettings: running programs or their calls continue with different settings.
 	ChangeSettings ConsequenceKind = "touch"
 )
 
-// Consequence is one thing that a plan would cause.
+// Consequence is an effect that a plan would have.
 type Consequence struct {
 	Kind ConsequenceKind `json:"kind"`
-	// Object is "Kind/name" of what is concerned.
+	// Object is the affected object as "Kind/name".
 	Object string `json:"object"`
-	// Zone is where; empty for all or no zone.
+	// Zone is the affected zone; empty for all or no zone.
 	Zone   structs.ZoneName `json:"zone,omitempty"`
 	Detail string           `json:"detail"`
-	// Count is the number of engines or replicas concerned, else 0.
+	// Count is the number of affected engines or replicas, otherwise 0.
 	Count int `json:"count,omitempty"`
-	// Bytes are read from the weight store.
+	// Bytes is the amount of data read from the weight store.
 	Bytes int64 `json:"bytes,omitempty"`
-	// Milliseconds is how long the loads take at the weight store's rate when
-	// nothing else uses it; 0 where the rate isn't declared.
+	// Milliseconds is how long the loads take at the weight store's rate without other
+	// load; 0 if the rate is not declared.
 	Milliseconds int64 `json:"milliseconds,omitempty"`
-	// Programs counts programs under way that are touched; Unknown (-1) where
-	// no full count could be had.
+	// Programs is the number of affected running programs; UnknownCount (-1) if the
+	// count is incomplete.
 	Programs int `json:"programs,omitempty"`
 }
 
-// HarmKind says what a harm does.
+// HarmKind is the kind of a Harm.
 type HarmKind string
 
-// The kinds of harms.
+// Kinds of harms.
 const (
-	// DataStranded: history stays where it may not rest, or where nothing can
-	// serve or copy it.
+	// DataStranded: data remains in a zone in which it is no longer permitted, or in
+	// which nothing can serve or copy it.
 	DataStranded HarmKind = "data_stranded"
-	// ProgramsCutOff: programs under way can't go on.
+	// ProgramsCutOff: running programs cannot continue.
 	ProgramsCutOff HarmKind = "programs_cut_off"
 )
 
-// Harm is a consequence that a confirmation must accept by name.
+// Harm is a consequence that the operator must accept by name when confirming the plan.
 type Harm struct {
-	// Name is what the confirmation repeats.
+	// Name is the name that the confirmation must repeat.
 	Name   string   `json:"name"`
 	Kind   HarmKind `json:"kind"`
 	Object string   `json:"object"`
 	Detail string   `json:"detail"`
-	// Programs counts programs under way that are harmed, or is Unknown.
+	// Programs is the number of harmed running programs, or UnknownCount.
 	Programs int `json:"programs"`
 }
 
-func (c *comparison) cause(consequence Consequence) {
+func (c *comparison) addConsequence(consequence Consequence) {
 	c.consequences = append(c.consequences, consequence)
 }
 
-// harm adds a harm unless nobody is under way. A name that stands already gets
-// the further detail.
-func (c *comparison) harm(harm Harm) {
+// addHarm adds a harm unless no running program is affected. If there is already a harm
+// with the same name, the detail is appended to it.
+func (c *comparison) addHarm(harm Harm) {
 	if harm.Programs == 0 {
 		return
 	}
 	for i := range c.harms {
 		if c.harms[i].Name == harm.Name {
 			c.harms[i].Detail += "; " + harm.Detail
-			c.harms[i].Programs = moreOf(c.harms[i].Programs, harm.Programs)
+			c.harms[i].Programs = maxCount(c.harms[i].Programs, harm.Programs)
 			return
 		}
 	}
 	c.harms = append(c.harms, harm)
 }
 
-// moreOf returns the larger count; Unknown counts as the least that is known.
-func moreOf(one, other int) int { return max(one, other) }
+// maxCount returns the larger count; UnknownCount is smaller than every known count.
+func maxCount(a, b int) int { return max(a, b) }
 
 func objectName(kind, name any) string { return fmt.Sprintf("%v/%v", kind, name) }
 
-// countText words a number of programs under way.
-func countText(programs int) string {
+// formatProgramCount describes a number of running programs in words.
+func formatProgramCount(programs int) string {
 	switch programs {
 	case UnknownCount:
 		return "an unknown number of programs under way"
--- a/internal/plan/difference.go
+++ b/internal/plan/difference.go
@@ -10,24 +10,25 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Differences lists what differs, by object and field. A whole object that was
-// added or removed is one difference; the fields of a changed one are one each.
+// Differences lists the differences between two sets of declarations by object and
+// field. An added or removed object is one difference; a changed object has one for
+// each changed field.
 func Differences(before, after structs.Declarations) []structs.Difference {
-	var all []structs.Difference
-	// There is one deployment, so a new name is a changed field of it.
+	var differences []structs.Difference
+	// There is only one deployment, so a new name counts as a changed field.
 	name := cmp.Or(after.Deployment.Name, before.Deployment.Name)
-	all = append(all, compareLists("Deployment", deploymentList(before), deploymentList(after),
+	differences = append(differences, compareLists("Deployment", deploymentList(before), deploymentList(after),
 		func(structs.Deployment) string { return name })...)
-	all = append(all, compareLists("Zone", before.Zones, after.Zones, func(z structs.Zone) string { return string(z.Name) })...)
-	all = append(all, compareLists("Tenant", before.Tenants, after.Tenants, func(t structs.Tenant) string { return string(t.Name) })...)
-	all = append(all, compareLists("Model", before.Models, after.Models, func(m structs.Model) string { return string(m.Name) })...)
-	all = append(all, compareLists("Tool", before.Tools, after.Tools, func(t structs.Tool) string { return string(t.Name) })...)
-	all = append(all, compareLists("AgentProgram", before.Programs, after.Programs,
+	differences = append(differences, compareLists("Zone", before.Zones, after.Zones, func(z structs.Zone) string { return string(z.Name) })...)
+	differences = append(differences, compareLists("Tenant", before.Tenants, after.Tenants, func(t structs.Tenant) string { return string(t.Name) })...)
+	differences = append(differences, compareLists("Model", before.Models, after.Models, func(m structs.Model) string { return string(m.Name) })...)
+	differences = append(differences, compareLists("Tool", before.Tools, after.Tools, func(t structs.Tool) string { return string(t.Name) })...)
+	differences = append(differences, compareLists("AgentProgram", before.Programs, after.Programs,
 		func(p structs.AgentProgram) string { return string(p.Name) })...)
-	return all
+	return differences
 }
 
-// deploymentList is empty before the first configuration.
+// deploymentList returns the deployment; none before the first configuration.
 func deploymentList(d structs.Declarations) []structs.Deployment {
 	if d.Deployment.Name == "" {
 		return nil
@@ -35,63 +36,64 @@
 	return []structs.Deployment{d.Deployment}
 }
 
-func compareLists[T any](kind string, before, after []T, name func(T) string) []structs.Difference {
-	earlier, later := byName(before, name), byName(after, name)
+func compareLists[T any](kind string, before, after []T, nameOf func(T) string) []structs.Difference {
+	beforeByName, afterByName := byName(before, nameOf), byName(after, nameOf)
 	names := map[string]bool{}
-	for each := range earlier {
-		names[each] = true
+	for name := range beforeByName {
+		names[name] = true
 	}
-	for each := range later {
-		names[each] = true
+	for name := range afterByName {
+		names[name] = true
 	}
-	var found []structs.Difference
-	for _, each := range sorted(names) {
-		old, had := earlier[each]
-		wanted, has := later[each]
-		object := objectName(kind, each)
+	var differences []structs.Difference
+	for _, name := range sortedNames(names) {
+		oldObject, existed := beforeByName[name]
+		newObject, exists := afterByName[name]
+		object := objectName(kind, name)
 		switch {
-		case !had:
-			found = append(found, structs.Difference{Object: object, Change: structs.ChangeAdded})
-		case !has:
-			found = append(found, structs.Difference{Object: object, Change: structs.ChangeRemoved})
+		case !existed:
+			differences = append(differences, structs.Difference{Object: object, Change: structs.ChangeAdded})
+		case !exists:
+			differences = append(differences, structs.Difference{Object: object, Change: structs.ChangeRemoved})
 		default:
-			found = append(found, compareFields(object, old, wanted)...)
+			differences = append(differences, compareFields(object, oldObject, newObject)...)
 		}
 	}
-	return found
+	return differences
 }
 
 func compareFields(object string, before, after any) []structs.Difference {
-	oldText, newText := asJSON(before), asJSON(after)
+	oldText, newText := encodeJSON(before), encodeJSON(after)
 	if bytes.Equal(oldText, newText) {
 		return nil
 	}
-	earlier, later := flatten(oldText), flatten(newText)
+	beforeLeaves, afterLeaves := flatten(oldText), flatten(newText)
 	paths := map[string]bool{}
-	for path := range earlier {
+	for path := range beforeLeaves {
 		paths[path] = true
 	}
-	for path := range later {
+	for path := range afterLeaves {
 		paths[path] = true
 	}
-	var found []structs.Difference
-	for _, path := range sorted(paths) {
-		if earlier[path] == later[path] {
+	var differences []structs.Difference
+	for _, path := range sortedNames(paths) {
+		if beforeLeaves[path] == afterLeaves[path] {
 			continue
 		}
-		found = append(found, structs.Difference{
+		differences = append(differences, structs.Difference{
 			Object: object,
 			Change: structs.ChangeChanged,
 			Field:  path,
-			Before: earlier[path],
-			After:  later[path],
+			Before: beforeLeaves[path],
+			After:  afterLeaves[path],
 		})
 	}
-	return found
+	return differences
 }
 
-// flatten maps the dotted path of every leaf of a JSON object to its text.
-// Lists of objects with an id are addressed by it; other lists are leaves.
+// flatten maps the dotted path of each leaf of a JSON object to the leaf's text.
+// Elements of lists of objects with an "id" are addressed by it; other lists are
+// leaves.
 func flatten(text []byte) map[string]string {
 	var value any
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -113,15 +115,15 @@
 		}
 	case []any:
 		if !haveIDs(typed) {
-			leaves[path] = string(asJSON(typed))
+			leaves[path] = string(encodeJSON(typed))
 			return
 		}
 		for _, child := range typed {
-			identified := child.(map[string]any)
-			flattenInto(leaves, fmt.Sprintf("%s[%v]", path, identified["id"]), child)
+			object := child.(map[string]any)
+			flattenInto(leaves, fmt.Sprintf("%s[%v]", path, object["id"]), child)
 		}
 	default:
-		leaves[path] = string(asJSON(typed))
+		leaves[path] = string(encodeJSON(typed))
 	}
 }
 
@@ -142,8 +144,8 @@
 	return path + "." + key
 }
 
-// asJSON encodes declared values, which hold nothing that JSON can't carry.
-func asJSON(value any) []byte {
+// encodeJSON encodes declared values, all of which can be represented in JSON.
+func encodeJSON(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return []byte(err.Error())
@@ -151,7 +153,7 @@
 	return text
 }
 
-func sorted(set map[string]bool) []string {
+func sortedNames(set map[string]bool) []string {
 	names := make([]string, 0, len(set))
 	for name := range set {
 		names = append(names, name)
--- a/internal/plan/models.go
+++ b/internal/plan/models.go
@@ -9,55 +9,56 @@
 
 const millisecondsPerSecond = 1000
 
-// models works out what engines load, unload and drain, and where the engines
-// that live now don't suffice.
-func (c *comparison) models() {
+// compareModels adds the consequences for engines that load, unload or drain, and for
+// models with more desired replicas than reporting engines.
+func (c *comparison) compareModels() {
 	var loadedBytes int64
 	for _, model := range c.after.Models {
-		earlier, had := c.old.models[model.Name]
+		previous, existed := c.beforeIndex.models[model.Name]
 		for _, zone := range c.after.Zones {
-			loadedBytes += c.modelInZone(earlier, had, model, zone.Name)
-			c.liveEngines(model, zone.Name)
+			loadedBytes += c.compareModelInZone(previous, existed, model, zone.Name)
+			c.checkEngineCapacity(model, zone.Name)
 		}
-		c.adapters(earlier, had, model)
+		c.compareAdapters(previous, existed, model)
 	}
 	for _, model := range c.before.Models {
-		if _, kept := c.new.models[model.Name]; !kept {
-			c.removedModel(model)
+		if _, isKept := c.afterIndex.models[model.Name]; !isKept {
+			c.addRemovedModel(model)
 		}
 	}
 	if loadedBytes > 0 {
-		c.cause(Consequence{
+		c.addConsequence(Consequence{
 			Kind:         LoadWeights,
 			Object:       objectName("Deployment", c.after.Deployment.Name),
 			Bytes:        loadedBytes,
-			Milliseconds: c.loadTime(loadedBytes),
+			Milliseconds: c.loadMilliseconds(loadedBytes),
 			Detail:       "all loads together, at the weight store's rate" + c.rateText(),
 		})
 	}
 }
 
-// modelInZone compares one zone's engines and returns the bytes to load.
-func (c *comparison) modelInZone(earlier structs.Model, had bool, model structs.Model, zone structs.ZoneName) int64 {
-	before, after := earlier.ReplicasPerZone[zone], model.ReplicasPerZone[zone]
-	kept := min(before, after)
-	c.unload(model.Name, zone, before-kept)
-	fresh := after - kept
-	newVersion := had && earlier.Version != model.Version
-	if newVersion || had && roleOf(earlier) != roleOf(model) {
-		c.drainEngines(model.Name, zone, kept)
-	}
-	if newVersion {
-		fresh += kept
-	}
-	return c.load(model, zone, fresh)
+// compareModelInZone compares the engines of a model in one zone and returns the bytes
+// to load.
+func (c *comparison) compareModelInZone(previous structs.Model, existed bool, model structs.Model, zone structs.ZoneName) int64 {
+	before, after := previous.ReplicasPerZone[zone], model.ReplicasPerZone[zone]
+	keptEngines := min(before, after)
+	c.addUnload(model.Name, zone, before-keptEngines)
+	enginesToLoad := after - keptEngines
+	isNewVersion := existed && previous.Version != model.Version
+	if isNewVersion || existed && roleOf(previous) != roleOf(model) {
+		c.addDrain(model.Name, zone, keptEngines)
+	}
+	if isNewVersion {
+		enginesToLoad += keptEngines
+	}
+	return c.addLoad(model, zone, enginesToLoad)
 }
 
-func (c *comparison) unload(model structs.ModelName, zone structs.ZoneName, engines int) {
+func (c *comparison) addUnload(model structs.ModelName, zone structs.ZoneName, engines int) {
 	if engines == 0 {
 		return
 	}
-	c.cause(Consequence{
+	c.addConsequence(Consequence{
 		Kind:   UnloadWeights,
 		Object: objectName("Model", model),
 		Zone:   zone,
@@ -66,11 +67,11 @@
 	})
 }
 
-func (c *comparison) drainEngines(model structs.ModelName, zone structs.ZoneName, engines int) {
+func (c *comparison) addDrain(model structs.ModelName, zone structs.ZoneName, engines int) {
 	if engines == 0 {
 		return
 	}
-	c.cause(Consequence{
+	c.addConsequence(Consequence{
 		Kind:   DrainEngines,
 		Object: objectName("Model", model),
 		Zone:   zone,
@@ -79,19 +80,20 @@
 	})
 }
 
-// load returns the bytes that the engines read from the weight store.
-func (c *comparison) load(model structs.Model, zone structs.ZoneName, engines int) int64 {
+// addLoad adds the consequence for engines that load a model and returns the bytes that
+// they read from the weight store.
+func (c *comparison) addLoad(model structs.Model, zone structs.ZoneName, engines int) int64 {
 	if engines == 0 {
 		return 0
 	}
 	size := int64(engines) * model.WeightsBytes
-	c.cause(Consequence{
+	c.addConsequence(Consequence{
 		Kind:         LoadWeights,
 		Object:       objectName("Model", model.Name),
 		Zone:         zone,
 		Count:        engines,
 		Bytes:        size,
-		Milliseconds: c.loadTime(size),
+		Milliseconds: c.loadMilliseconds(size),
 		Detail:       fmt.Sprintf("%d engines load %s %s", engines, model.Name, model.Version),
 	})
 	return size
@@ -104,69 +106,69 @@
 	return model.Role
 }
 
-func (c *comparison) adapters(earlier structs.Model, had bool, model structs.Model) {
-	if !had {
+func (c *comparison) compareAdapters(previous structs.Model, existed bool, model structs.Model) {
+	if !existed {
 		return
 	}
 	object := objectName("Model", model.Name)
 	for _, adapter := range model.Adapters {
-		if !slices.Contains(earlier.Adapters, adapter) {
-			c.cause(Consequence{Kind: LoadWeights, Object: object, Detail: "engines load adapter " + adapter})
+		if !slices.Contains(previous.Adapters, adapter) {
+			c.addConsequence(Consequence{Kind: LoadWeights, Object: object, Detail: "engines load adapter " + adapter})
 		}
 	}
-	for _, adapter := range earlier.Adapters {
+	for _, adapter := range previous.Adapters {
 		if slices.Contains(model.Adapters, adapter) {
 			continue
 		}
-		c.cause(Consequence{Kind: UnloadWeights, Object: object, Detail: "engines unload adapter " + adapter})
-		c.cause(Consequence{
+		c.addConsequence(Consequence{Kind: UnloadWeights, Object: object, Detail: "engines unload adapter " + adapter})
+		c.addConsequence(Consequence{
 			Kind:     RejectRequests,
 			Object:   object,
-			Programs: c.input.Usage.usersOf(c.before, model.Name),
+			Programs: c.input.Usage.countByModel(c.before, model.Name),
 			Detail:   "calls that ask for adapter " + adapter + " would be refused",
 		})
 	}
 }
 
-func (c *comparison) removedModel(model structs.Model) {
+func (c *comparison) addRemovedModel(model structs.Model) {
 	for _, zone := range c.before.Zones {
-		c.unload(model.Name, zone.Name, model.ReplicasPerZone[zone.Name])
+		c.addUnload(model.Name, zone.Name, model.ReplicasPerZone[zone.Name])
 	}
 }
 
-// liveEngines compares the wanted replicas with the engines that report now.
-// Without any report it says nothing.
-func (c *comparison) liveEngines(model structs.Model, zone structs.ZoneName) {
+// checkEngineCapacity compares the desired replicas with the engines that report now.
+// It is skipped if there are no reports.
+func (c *comparison) checkEngineCapacity(model structs.Model, zone structs.ZoneName) {
 	if len(c.input.Engines) == 0 {
 		return
 	}
-	live := 0
+	reporting := 0
 	for _, engine := range c.input.Engines {
 		if engine.Zone == zone && !engine.Leaving {
-			live++
+			reporting++
 		}
 	}
-	wanted := model.ReplicasPerZone[zone]
-	if live >= wanted {
+	desired := model.ReplicasPerZone[zone]
+	if reporting >= desired {
 		return
 	}
-	c.cause(Consequence{
+	c.addConsequence(Consequence{
 		Kind:   InsufficientCapacity,
 		Object: objectName("Model", model.Name),
 		Zone:   zone,
-		Count:  wanted - live,
-		Detail: fmt.Sprintf("%d replicas wanted, engines that report: %d", wanted, live),
+		Count:  desired - reporting,
+		Detail: fmt.Sprintf("%d replicas wanted, engines that report: %d", desired, reporting),
 	})
 }
 
-// loadTime is 0 where the rate isn't declared.
-func (c *comparison) loadTime(size int64) int64 {
+// loadMilliseconds returns the load time, or 0 if the rate is not declared.
+func (c *comparison) loadMilliseconds(size int64) int64 {
 	rate := c.after.Deployment.WeightStoreBytesPerSecond
 	if rate <= 0 {
 		return 0
 	}
-	seconds, rest := size/rate, size%rate
-	return seconds*millisecondsPerSecond + int64(float64(rest)/float64(rate)*millisecondsPerSecond)
+	seconds, remainder := size/rate, size%rate
+	return seconds*millisecondsPerSecond + int64(float64(remainder)/float64(rate)*millisecondsPerSecond)
 }
 
 func (c *comparison) rateText() string {
@@ -176,11 +178,11 @@
 	return ""
 }
 
-// usersOf counts the programs under way whose declaration names the model.
-func (u Usage) usersOf(declarations structs.Declarations, model structs.ModelName) int {
-	users := map[structs.ProgramName]bool{}
+// countByModel counts the running programs whose declaration names the model.
+func (u Usage) countByModel(declarations structs.Declarations, model structs.ModelName) int {
+	usesModel := map[structs.ProgramName]bool{}
 	for _, program := range declarations.Programs {
-		users[program.Name] = slices.Contains(program.Models, model)
+		usesModel[program.Name] = slices.Contains(program.Models, model)
 	}
-	return u.count(func(c ProgramCount) bool { return users[c.Program] })
+	return u.count(func(c ProgramCount) bool { return usesModel[c.Program] })
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan works out what a change of the declarations would do: the
-// differences from the configuration in force, their consequences, and the
-// harms that a confirmation must name. It does no I/O and reads no clock.
+// Package plan computes the effects of a change of the declarations: the differences
+// from the active configuration, their consequences, and the harms that a confirmation
+// must accept by name. It does no I/O and reads no clock.
 package plan
 
 import (
@@ -16,118 +16,120 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// An identifier is "plan-<base>-<hash>".
+// The format of a plan ID is "plan-<base>-<hash>".
 const (
 	idParts     = 3
 	idHexDigits = 16
 )
 
-// Input is everything that a plan is made from.
+// Input holds everything from which a plan is computed.
 type Input struct {
-	// Active is the configuration in force; nil before the first one.
+	// Active is the active configuration; nil before the first one.
 	Active *structs.Configuration
-	// Desired are the declarations, checked by package declaration.
+	// Desired are the new declarations, already validated by package declaration.
 	Desired structs.Declarations
-	// Operator is who asks.
+	// Operator is the operator who requests the plan.
 	Operator string
-	// Usage counts the programs under way.
+	// Usage counts the running programs.
 	Usage Usage
-	// Nodes are the daemons now known; empty where the view isn't known.
+	// Nodes are the currently known daemons; empty if the membership is unknown.
 	Nodes []structs.Node
-	// Members are the present members of replica groups, as far as known.
+	// Members are the current members of replica groups, as far as known.
 	Members map[structs.ShardID][]structs.NodeID
-	// Engines are the engines' last reports; empty where none is known.
+	// Engines are the last reports of the engines; empty if there are none.
 	Engines []structs.EngineStatus
-	// Now stamps the plan.
+	// Now is the creation time of the plan.
 	Now time.Time
 }
 
-// Plan is a change that waits for its confirmation.
+// Plan is a change that awaits confirmation.
 type Plan struct {
-	// ID is derived from base, operator and declarations: asking for the same
-	// change again gives the same plan. It carries the base (see BaseVersionOf).
+	// ID is derived from the base version, the operator and the declarations:
+	// requesting the same change again results in the same ID. It contains the base
+	// version (see BaseVersionOf).
 	ID string `json:"id"`
-	// BaseVersion is the version in force that the plan was made from.
+	// BaseVersion is the version of the active configuration that the plan is based on.
 	BaseVersion  uint64               `json:"baseVersion"`
 	Operator     string               `json:"operator"`
 	CreatedAt    time.Time            `json:"createdAt"`
 	Differences  []structs.Difference `json:"differences"`
 	Consequences []Consequence        `json:"consequences"`
 	Harms        []Harm               `json:"harms"`
-	// Declarations and Domains are what the plan puts in force.
+	// Declarations and Domains are the configuration that the plan activates.
 	Declarations structs.Declarations `json:"declarations"`
 	Domains      []structs.Domain     `json:"domains"`
 }
 
-// New works out the plan. The same input always gives the same plan.
+// New computes a plan. The same input always results in the same plan.
 func New(input Input) *Plan {
-	inForce := structs.Configuration{}
+	active := structs.Configuration{}
 	if input.Active != nil {
-		inForce = *input.Active
+		active = *input.Active
 	}
-	run := &comparison{
-		input:  input,
-		before: inForce.Declarations,
-		after:  input.Desired,
-		old:    indexOf(inForce.Declarations),
-		new:    indexOf(input.Desired),
-		held:   inForce.Domains,
+	c := &comparison{
+		input:         input,
+		before:        active.Declarations,
+		after:         input.Desired,
+		beforeIndex:   newIndex(active.Declarations),
+		afterIndex:    newIndex(input.Desired),
+		activeDomains: active.Domains,
 	}
-	run.domains = placement.ExtendDomains(input.Desired, inForce.Domains)
-	run.models()
-	run.places()
-	run.programs()
+	c.desiredDomains = placement.ExtendDomains(input.Desired, active.Domains)
+	c.compareModels()
+	c.compareZones()
+	c.comparePrograms()
 	return &Plan{
-		ID:           identifier(inForce.Version, input),
-		BaseVersion:  inForce.Version,
+		ID:           planID(active.Version, input),
+		BaseVersion:  active.Version,
 		Operator:     input.Operator,
 		CreatedAt:    input.Now,
-		Differences:  Differences(inForce.Declarations, input.Desired),
-		Consequences: run.consequences,
-		Harms:        run.harms,
+		Differences:  Differences(active.Declarations, input.Desired),
+		Consequences: c.consequences,
+		Harms:        c.harms,
 		Declarations: input.Desired,
-		Domains:      run.domains,
+		Domains:      c.desiredDomains,
 	}
 }
 
 // IsEmpty reports whether the plan changes nothing.
 func (p *Plan) IsEmpty() bool { return len(p.Differences) == 0 }
 
-// UnacceptedHarms returns the harms whose names are not among those accepted.
+// UnacceptedHarms returns the harms whose names are not accepted.
 func (p *Plan) UnacceptedHarms(accepted []string) []Harm {
-	named := map[string]bool{}
+	isAccepted := map[string]bool{}
 	for _, name := range accepted {
-		named[name] = true
+		isAccepted[name] = true
 	}
-	var missing []Harm
+	var unaccepted []Harm
 	for _, harm := range p.Harms {
-		if !named[harm.Name] {
-			missing = append(missing, harm)
+		if !isAccepted[harm.Name] {
+			unaccepted = append(unaccepted, harm)
 		}
 	}
-	return missing
+	return unaccepted
 }
 
-// identity is what a plan's identifier is the hash of.
-type identity struct {
+// idContent is the content that a plan's ID is the hash of. The field names are part of
+// the hash.
+type idContent struct {
 	Base     uint64
 	Operator string
 	Wanted   structs.Declarations
 }
 
-func identifier(base uint64, input Input) string {
-	// The declarations hold nothing that JSON can't carry: numbers, texts and
-	// maps by name, which are written in the order of their keys.
-	content, err := json.Marshal(identity{base, input.Operator, input.Desired})
+func planID(base uint64, input Input) string {
+	// All declared values can be represented in JSON, and maps are encoded in the order
+	// of their keys, so the encoding is deterministic.
+	content, err := json.Marshal(idContent{base, input.Operator, input.Desired})
 	if err != nil {
 		content = []byte(err.Error())
 	}
-	sum := sha256.Sum256(content)
-	return fmt.Sprintf("plan-%d-%s", base, hex.EncodeToString(sum[:])[:idHexDigits])
+	hash := sha256.Sum256(content)
+	return fmt.Sprintf("plan-%d-%s", base, hex.EncodeToString(hash[:])[:idHexDigits])
 }
 
-// BaseVersionOf returns the base version that a plan's identifier carries, and whether
-// the identifier is well formed.
+// BaseVersionOf returns the base version that a plan's ID contains, and whether the ID
+// is well formed.
 func BaseVersionOf(id string) (uint64, bool) {
 	parts := strings.Split(id, "-")
 	if len(parts) != idParts || parts[0] != "plan" || len(parts[2]) != idHexDigits {
@@ -140,17 +142,17 @@
 	return base, err == nil
 }
 
-// comparison is one run of Make.
+// comparison is the state of one call of New.
 type comparison struct {
-	input         Input
-	before, after structs.Declarations
-	old, new      index
-	held, domains []structs.Domain
-	consequences  []Consequence
-	harms         []Harm
+	input                         Input
+	before, after                 structs.Declarations
+	beforeIndex, afterIndex       index
+	activeDomains, desiredDomains []structs.Domain
+	consequences                  []Consequence
+	harms                         []Harm
 }
 
-// index finds declared objects by name.
+// index maps names to declared objects.
 type index struct {
 	zones    map[structs.ZoneName]structs.Zone
 	tenants  map[structs.TenantID]structs.Tenant
@@ -159,7 +161,7 @@
 	programs map[structs.ProgramName]structs.AgentProgram
 }
 
-func indexOf(d structs.Declarations) index {
+func newIndex(d structs.Declarations) index {
 	return index{
 		zones:    byName(d.Zones, func(z structs.Zone) structs.ZoneName { return z.Name }),
 		tenants:  byName(d.Tenants, func(t structs.Tenant) structs.TenantID { return t.Name }),
@@ -169,25 +171,25 @@
 	}
 }
 
-func byName[T any, N comparable](all []T, name func(T) N) map[N]T {
-	found := make(map[N]T, len(all))
-	for _, one := range all {
-		found[name(one)] = one
+func byName[T any, N comparable](objects []T, nameOf func(T) N) map[N]T {
+	index := make(map[N]T, len(objects))
+	for _, object := range objects {
+		index[nameOf(object)] = object
 	}
-	return found
+	return index
 }
 
-// open reports whether the zone is declared and takes work.
-func (i index) open(zone structs.ZoneName) bool {
-	declared, known := i.zones[zone]
-	return known && !declared.Draining
+// isOpen reports whether the zone is declared and accepts work.
+func (i index) isOpen(zone structs.ZoneName) bool {
+	zoneDeclaration, exists := i.zones[zone]
+	return exists && !zoneDeclaration.Draining
 }
 
-// openZones returns those of zones that are open.
+// openZones returns the open zones among the given ones.
 func (i index) openZones(zones []structs.ZoneName) []structs.ZoneName {
 	var open []structs.ZoneName
 	for _, zone := range zones {
-		if i.open(zone) {
+		if i.isOpen(zone) {
 			open = append(open, zone)
 		}
 	}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -17,13 +17,13 @@
 
 var now = time.Unix(1_700_000_000, 0).UTC()
 
-func load(t testing.TB, name string) structs.Declarations {
+func loadExample(t testing.TB, name string) structs.Declarations {
 	loaded, err := declaration.Load("../../deploy/" + name)
 	require.NoError(t, err)
 	return loaded
 }
 
-// clone copies declarations deeply, so that a case can edit its own.
+// clone returns a deep copy, so that each test can edit its own declarations.
 func clone(t require.TestingT, declarations structs.Declarations) structs.Declarations {
 	var copied structs.Declarations
 	text, err := json.Marshal(declarations)
@@ -32,11 +32,11 @@
 	return copied
 }
 
-func inForce(declarations structs.Declarations) *structs.Configuration {
+func activeConfiguration(declarations structs.Declarations) *structs.Configuration {
 	return &structs.Configuration{Version: 7, Declarations: declarations, Domains: placement.ExtendDomains(declarations, nil)}
 }
 
-// daemons returns three daemons in each zone.
+// daemons returns three daemons for each zone.
 func daemons(declarations structs.Declarations) []structs.Node {
 	var nodes []structs.Node
 	for _, zone := range declarations.Zones {
@@ -48,8 +48,8 @@
 	return nodes
 }
 
-// voltkaiUse has programs under way in each domain.
-func voltkaiUse() Usage {
+// voltkaiUsage returns the usage of a deployment with running programs in each domain.
+func voltkaiUsage() Usage {
 	return Usage{Complete: true, Counts: []ProgramCount{
 		{Program: "door-session", Tenant: "riders", Domain: "changhua+taichung-1+taichung-2", Running: 40},
 		{Program: "refund", Tenant: "riders", Domain: "changhua+taichung-1+taichung-2", Running: 2},
@@ -57,7 +57,7 @@
 	}}
 }
 
-func program(d *structs.Declarations, name structs.ProgramName) *structs.AgentProgram {
+func findProgram(d *structs.Declarations, name structs.ProgramName) *structs.AgentProgram {
 	for i := range d.Programs {
 		if d.Programs[i].Name == name {
 			return &d.Programs[i]
@@ -66,15 +66,15 @@
 	return nil
 }
 
-func closeZones(d *structs.Declarations, names ...structs.ZoneName) {
+func drainZones(d *structs.Declarations, zones ...structs.ZoneName) {
 	for i := range d.Zones {
-		for _, name := range names {
-			d.Zones[i].Draining = d.Zones[i].Draining || d.Zones[i].Name == name
+		for _, zone := range zones {
+			d.Zones[i].Draining = d.Zones[i].Draining || d.Zones[i].Name == zone
 		}
 	}
 }
 
-func kinds(p *Plan) map[ConsequenceKind]int {
+func countKinds(p *Plan) map[ConsequenceKind]int {
 	counts := map[ConsequenceKind]int{}
 	for _, consequence := range p.Consequences {
 		counts[consequence.Kind]++
@@ -83,87 +83,89 @@
 }
 
 func TestFirstPlanLoadsAllModelsWithoutHarm(t *testing.T) {
-	wanted := load(t, "voltkai")
-	made := New(Input{Desired: wanted, Operator: "lin", Nodes: daemons(wanted), Now: now})
-	require.Empty(t, made.Harms)
-	require.Zero(t, made.BaseVersion)
-	require.Len(t, made.Domains, 2)
-	total := made.Consequences[len(made.Consequences)-1]
+	desired := loadExample(t, "voltkai")
+	plan := New(Input{Desired: desired, Operator: "lin", Nodes: daemons(desired), Now: now})
+	require.Empty(t, plan.Harms)
+	require.Zero(t, plan.BaseVersion)
+	require.Len(t, plan.Domains, 2)
+	total := plan.Consequences[len(plan.Consequences)-1]
 	require.Equal(t, LoadWeights, total.Kind)
 	require.EqualValues(t, 10*16_000_000_000, total.Bytes)
 	require.EqualValues(t, 160_000, total.Milliseconds)
 }
 
-// TestHarms also holds that a harm comes with the consequence of
-// sideKind (with none where that is empty), that nobody under way means no harm
-// and that an unknown count means harm.
+// Each edit must result in the expected harms with their numbers of programs, and in
+// consequences of kind expectedConsequence (in none if it is empty). There is no harm
+// without running programs, and there is harm if the count is unknown.
 func TestHarms(t *testing.T) {
 	cases := []struct {
-		name     string
-		edit     func(d *structs.Declarations)
-		harms    map[string]int
-		sideKind ConsequenceKind
+		name                string
+		edit                func(d *structs.Declarations)
+		harms               map[string]int
+		expectedConsequence ConsequenceKind
 	}{
 		{"program removed", func(d *structs.Declarations) { d.Programs = d.Programs[1:] }, map[string]int{"cut-off-program-door-session": 40}, RejectRequests},
-		{"tool moves away", func(d *structs.Declarations) { d.Tools[4].Zone = "nantou" }, map[string]int{"cut-off-program-refund": 2}, ""},
-		{"tool taken away", func(d *structs.Declarations) { program(d, "door-session").Tools = []structs.ToolName{"cabinet-status"} },
+		{"tool moved to another zone", func(d *structs.Declarations) { d.Tools[4].Zone = "nantou" }, map[string]int{"cut-off-program-refund": 2}, ""},
+		{"tool removed from program", func(d *structs.Declarations) {
+			findProgram(d, "door-session").Tools = []structs.ToolName{"cabinet-status"}
+		},
 			map[string]int{"cut-off-program-door-session": 40}, RejectRequests},
 		{"every token replaced", func(d *structs.Declarations) { d.Tenants[1].TokenSHA256 = d.Tenants[0].TokenSHA256 },
 			map[string]int{"cut-off-tenant-riders": 42}, RejectRequests},
-		{"history narrowed", func(d *structs.Declarations) {
-			program(d, "overnight-rebalance").HistoryZones = []structs.ZoneName{"nantou"}
+		{"history zones reduced", func(d *structs.Declarations) {
+			findProgram(d, "overnight-rebalance").HistoryZones = []structs.ZoneName{"nantou"}
 		}, map[string]int{"strand-program-overnight-rebalance": 1}, InsufficientCapacity},
-		{"cache narrowed", func(d *structs.Declarations) {
-			program(d, "door-session").CacheZones = []structs.ZoneName{"nantou"}
+		{"cache zones reduced", func(d *structs.Declarations) {
+			findProgram(d, "door-session").CacheZones = []structs.ZoneName{"nantou"}
 		}, map[string]int{"strand-program-door-session": 40}, ""},
-		{"all zones of a domain drain", func(d *structs.Declarations) { closeZones(d, "taichung-1", "taichung-2", "changhua") },
+		{"all zones of a domain drain", func(d *structs.Declarations) { drainZones(d, "taichung-1", "taichung-2", "changhua") },
 			map[string]int{"strand-domain-changhua+taichung-1+taichung-2": 42, "cut-off-program-refund": 2}, DrainEngines},
 	}
-	base := load(t, "voltkai")
-	for _, each := range cases {
-		t.Run(each.name, func(t *testing.T) {
-			wanted := clone(t, base)
-			each.edit(&wanted)
-			input := Input{Active: inForce(base), Desired: wanted, Usage: voltkaiUse(), Nodes: daemons(base)[9:], Now: now}
-			if each.sideKind == DrainEngines {
+	base := loadExample(t, "voltkai")
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			desired := clone(t, base)
+			test.edit(&desired)
+			input := Input{Active: activeConfiguration(base), Desired: desired, Usage: voltkaiUsage(), Nodes: daemons(base)[9:], Now: now}
+			if test.expectedConsequence == DrainEngines {
 				input.Nodes = daemons(base)
 			}
-			made := New(input)
-			found := map[string]int{}
-			for _, harm := range made.Harms {
-				found[harm.Name] = harm.Programs
+			plan := New(input)
+			programsByHarm := map[string]int{}
+			for _, harm := range plan.Harms {
+				programsByHarm[harm.Name] = harm.Programs
 			}
-			require.Equal(t, each.harms, found)
-			require.Equal(t, each.sideKind == "", len(made.Consequences) == 0)
-			require.Equal(t, each.sideKind == "", kinds(made)[each.sideKind] == 0)
-			require.Len(t, made.UnacceptedHarms(nil), len(each.harms))
+			require.Equal(t, test.harms, programsByHarm)
+			require.Equal(t, test.expectedConsequence == "", len(plan.Consequences) == 0)
+			require.Equal(t, test.expectedConsequence == "", countKinds(plan)[test.expectedConsequence] == 0)
+			require.Len(t, plan.UnacceptedHarms(nil), len(test.harms))
 
 			input.Usage = Usage{Complete: true}
 			require.Empty(t, New(input).Harms)
 			input.Usage = Usage{}
-			unknown := New(input).Harms
-			require.NotEmpty(t, unknown)
-			for _, harm := range unknown {
+			harmsOfUnknown := New(input).Harms
+			require.NotEmpty(t, harmsOfUnknown)
+			for _, harm := range harmsOfUnknown {
 				require.Equal(t, UnknownCount, harm.Programs)
 			}
 		})
 	}
 }
 
-// TestChangedSettingsDoNotHarmRunningPrograms: these keep what they were opened with, so other
-// terms and a lost grant to open harm nobody.
+// Running programs keep the settings that they were started with, so changed settings
+// and a withdrawn permission to start the program do no harm.
 func TestChangedSettingsDoNotHarmRunningPrograms(t *testing.T) {
-	base := load(t, "voltkai")
-	wanted := clone(t, base)
-	door := program(&wanted, "door-session")
-	door.Budget.Turns, door.MaxAnswerTokens, door.Tenants = 1, 1, []structs.TenantID{"dispatchers"}
-	made := New(Input{Active: inForce(base), Desired: wanted, Usage: voltkaiUse(), Now: now})
-	require.Empty(t, made.Harms)
-	touched := map[ConsequenceKind]int{}
-	for _, consequence := range made.Consequences {
-		touched[consequence.Kind] += consequence.Programs
+	base := loadExample(t, "voltkai")
+	desired := clone(t, base)
+	program := findProgram(&desired, "door-session")
+	program.Budget.Turns, program.MaxAnswerTokens, program.Tenants = 1, 1, []structs.TenantID{"dispatchers"}
+	plan := New(Input{Active: activeConfiguration(base), Desired: desired, Usage: voltkaiUsage(), Now: now})
+	require.Empty(t, plan.Harms)
+	programsByKind := map[ConsequenceKind]int{}
+	for _, consequence := range plan.Consequences {
+		programsByKind[consequence.Kind] += consequence.Programs
 	}
-	require.Equal(t, map[ConsequenceKind]int{RejectRequests: 40, ChangeSettings: 40}, touched)
+	require.Equal(t, map[ConsequenceKind]int{RejectRequests: 40, ChangeSettings: 40}, programsByKind)
 }
 
 func TestUnacceptedHarms(t *testing.T) {
@@ -173,12 +175,12 @@
 }
 
 func TestDrainingOneZoneMovesReplicasWithoutHarm(t *testing.T) {
-	base := load(t, "voltkai")
-	wanted := clone(t, base)
-	closeZones(&wanted, "changhua")
+	base := loadExample(t, "voltkai")
+	desired := clone(t, base)
+	drainZones(&desired, "changhua")
 	nodes := daemons(base)
-	made := New(Input{Active: inForce(base), Desired: wanted, Usage: voltkaiUse(), Nodes: nodes, Now: now})
-	require.Empty(t, made.Harms)
+	plan := New(Input{Active: activeConfiguration(base), Desired: desired, Usage: voltkaiUsage(), Nodes: nodes, Now: now})
+	require.Empty(t, plan.Harms)
 	expected := map[string]int{}
 	for _, domain := range placement.ExtendDomains(base, nil) {
 		for shard := domain.FirstShard; shard < domain.FirstShard+structs.ShardID(domain.ShardCount); shard++ {
@@ -190,7 +192,7 @@
 		}
 	}
 	moved := map[string]int{}
-	for _, consequence := range made.Consequences {
+	for _, consequence := range plan.Consequences {
 		if consequence.Kind == MoveReplicas {
 			moved[consequence.Object] = consequence.Count
 		}
@@ -200,49 +202,49 @@
 }
 
 func TestNewModelVersionDrainsAndReloadsEngines(t *testing.T) {
-	base := load(t, "hofbauer")
-	wanted := clone(t, base)
-	wanted.Models[0].Version = "6"
-	wanted.Models[0].ReplicasPerZone["baumgarten"] = 1
-	made := New(Input{Active: inForce(base), Desired: wanted, Usage: Usage{Complete: true}, Now: now})
-	require.Equal(t, map[ConsequenceKind]int{DrainEngines: 3, LoadWeights: 4, UnloadWeights: 1}, kinds(made))
-	total := made.Consequences[len(made.Consequences)-1]
+	base := loadExample(t, "hofbauer")
+	desired := clone(t, base)
+	desired.Models[0].Version = "6"
+	desired.Models[0].ReplicasPerZone["baumgarten"] = 1
+	plan := New(Input{Active: activeConfiguration(base), Desired: desired, Usage: Usage{Complete: true}, Now: now})
+	require.Equal(t, map[ConsequenceKind]int{DrainEngines: 3, LoadWeights: 4, UnloadWeights: 1}, countKinds(plan))
+	total := plan.Consequences[len(plan.Consequences)-1]
 	require.EqualValues(t, 9*28_000, total.Milliseconds)
-	require.Empty(t, made.Harms)
+	require.Empty(t, plan.Harms)
 }
 
 func TestMissingEngineReportsAreInsufficientCapacity(t *testing.T) {
-	base := load(t, "hofbauer")
+	base := loadExample(t, "hofbauer")
 	engines := []structs.EngineStatus{{ID: "a", Zone: "vienna-1"}, {ID: "b", Zone: "vienna-1", Leaving: true}}
-	made := New(Input{Active: inForce(base), Desired: base, Engines: engines, Usage: Usage{Complete: true}, Now: now})
-	require.True(t, made.IsEmpty())
-	lacking := map[structs.ZoneName]int{}
-	for _, consequence := range made.Consequences {
+	plan := New(Input{Active: activeConfiguration(base), Desired: base, Engines: engines, Usage: Usage{Complete: true}, Now: now})
+	require.True(t, plan.IsEmpty())
+	missingByZone := map[structs.ZoneName]int{}
+	for _, consequence := range plan.Consequences {
 		require.Equal(t, InsufficientCapacity, consequence.Kind)
-		lacking[consequence.Zone] = consequence.Count
+		missingByZone[consequence.Zone] = consequence.Count
 	}
-	require.Equal(t, map[structs.ZoneName]int{"vienna-1": 3, "vienna-2": 4, "baumgarten": 2}, lacking)
+	require.Equal(t, map[structs.ZoneName]int{"vienna-1": 3, "vienna-2": 4, "baumgarten": 2}, missingByZone)
 }
 
-// TestDifferencesAreEmptyOnlyForEqualDeclarations edits declarations at
-// random and compares with reflection, which knows nothing of JSON paths.
+// Declarations are edited at random and compared by reflection, which is independent of
+// JSON paths.
 func TestDifferencesAreEmptyOnlyForEqualDeclarations(t *testing.T) {
-	base := load(t, "voltkai")
+	base := loadExample(t, "voltkai")
 	rapid.Check(t, func(t *rapid.T) {
-		wanted := clone(t, base)
+		desired := clone(t, base)
 		for range rapid.IntRange(0, 3).Draw(t, "edits") {
-			editAtRandom(t, &wanted)
+			editAtRandom(t, &desired)
 		}
-		differences := Differences(base, wanted)
-		require.Equal(t, reflect.DeepEqual(base, wanted), len(differences) == 0)
+		differences := Differences(base, desired)
+		require.Equal(t, reflect.DeepEqual(base, desired), len(differences) == 0)
 		for _, difference := range differences {
 			require.False(t, difference.Change == structs.ChangeChanged && difference.Before == difference.After)
 		}
-		one := New(Input{Active: inForce(base), Desired: wanted, Operator: "lin", Now: now})
-		again := New(Input{Active: inForce(base), Desired: clone(t, wanted), Operator: "lin", Now: now.Add(time.Hour)})
-		other := New(Input{Active: inForce(base), Desired: wanted, Operator: "wu", Now: now})
-		require.Equal(t, one.ID, again.ID)
-		require.NotEqual(t, one.ID, other.ID)
+		plan := New(Input{Active: activeConfiguration(base), Desired: desired, Operator: "lin", Now: now})
+		samePlan := New(Input{Active: activeConfiguration(base), Desired: clone(t, desired), Operator: "lin", Now: now.Add(time.Hour)})
+		otherOperator := New(Input{Active: activeConfiguration(base), Desired: desired, Operator: "wu", Now: now})
+		require.Equal(t, plan.ID, samePlan.ID)
+		require.NotEqual(t, plan.ID, otherOperator.ID)
 	})
 }
 
--- a/internal/plan/programs.go
+++ b/internal/plan/programs.go
@@ -8,183 +8,185 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// programs works out what becomes of programs under way and of requests.
-func (c *comparison) programs() {
+// comparePrograms adds the consequences and harms for running programs and for
+// requests.
+func (c *comparison) comparePrograms() {
 	for _, tenant := range c.before.Tenants {
-		c.tenant(tenant)
+		c.compareTenant(tenant)
 	}
-	for _, earlier := range c.before.Programs {
-		wanted, kept := c.new.programs[earlier.Name]
-		if !kept {
-			c.removedProgram(earlier)
+	for _, previous := range c.before.Programs {
+		desired, isKept := c.afterIndex.programs[previous.Name]
+		if !isKept {
+			c.addRemovedProgram(previous)
 			continue
 		}
-		c.programTenants(earlier, wanted)
-		c.programTargets(earlier, wanted)
-		c.programPlaces(earlier, wanted)
-		c.programTerms(earlier, wanted)
+		c.compareProgramTenants(previous, desired)
+		c.compareProgramTargets(previous, desired)
+		c.compareProgramZones(previous, desired)
+		c.compareProgramSettings(previous, desired)
 	}
 	for _, program := range c.after.Programs {
-		c.unserved(program)
+		c.checkServable(program)
 	}
 	for _, tool := range c.before.Tools {
-		c.tool(tool)
+		c.compareTool(tool)
 	}
 }
 
-func (c *comparison) tenant(tenant structs.Tenant) {
-	wanted, kept := c.new.tenants[tenant.Name]
-	lost := "the tenant is removed"
-	if kept {
-		if len(tenant.TokenSHA256) == 0 || overlaps(tenant.TokenSHA256, wanted.TokenSHA256) {
+func (c *comparison) compareTenant(tenant structs.Tenant) {
+	desired, isKept := c.afterIndex.tenants[tenant.Name]
+	reason := "the tenant is removed"
+	if isKept {
+		if len(tenant.TokenSHA256) == 0 || overlaps(tenant.TokenSHA256, desired.TokenSHA256) {
 			return
 		}
-		lost = "none of its present tokens stays accepted"
+		reason = "none of its present tokens stays accepted"
 	}
-	programs := c.input.Usage.ofTenant(tenant.Name)
+	programs := c.input.Usage.countByTenant(tenant.Name)
 	object := objectName("Tenant", tenant.Name)
-	c.cause(Consequence{
+	c.addConsequence(Consequence{
 		Kind:     RejectRequests,
 		Object:   object,
 		Programs: programs,
-		Detail:   lost + ": its requests would be refused as unauthenticated",
+		Detail:   reason + ": its requests would be refused as unauthenticated",
 	})
-	c.harm(Harm{
+	c.addHarm(Harm{
 		Name:     "cut-off-tenant-" + string(tenant.Name),
 		Kind:     ProgramsCutOff,
 		Object:   object,
 		Programs: programs,
-		Detail:   fmt.Sprintf("%s: %s lose their caller", lost, countText(programs)),
+		Detail:   fmt.Sprintf("%s: %s lose their caller", reason, formatProgramCount(programs)),
 	})
 }
 
-func (c *comparison) removedProgram(program structs.AgentProgram) {
-	programs := c.input.Usage.ofProgram(program.Name)
-	c.cause(Consequence{
+func (c *comparison) addRemovedProgram(program structs.AgentProgram) {
+	programs := c.input.Usage.countByProgram(program.Name)
+	c.addConsequence(Consequence{
 		Kind:     RejectRequests,
 		Object:   objectName("AgentProgram", program.Name),
 		Programs: programs,
 		Detail:   "opening it would be refused as not permitted",
 	})
-	c.cutOff(program.Name, programs, "the program is no longer declared")
+	c.addInterruption(program.Name, programs, "the program is no longer declared")
 }
 
-func (c *comparison) cutOff(name structs.ProgramName, programs int, reason string) {
-	c.harm(Harm{
+func (c *comparison) addInterruption(name structs.ProgramName, programs int, reason string) {
+	c.addHarm(Harm{
 		Name:     "cut-off-program-" + string(name),
 		Kind:     ProgramsCutOff,
 		Object:   objectName("AgentProgram", name),
 		Programs: programs,
-		Detail:   fmt.Sprintf("%s: %s can't go on", reason, countText(programs)),
+		Detail:   fmt.Sprintf("%s: %s can't go on", reason, formatProgramCount(programs)),
 	})
 }
 
-// programTenants reports tenants that can open the program no more. Programs
-// that they have under way go on: a call needs no such grant.
-func (c *comparison) programTenants(earlier, wanted structs.AgentProgram) {
-	for _, tenant := range earlier.Tenants {
-		if slices.Contains(wanted.Tenants, tenant) {
+// compareProgramTenants reports tenants that may no longer start the program. Their
+// running programs continue, because calls do not require this permission.
+func (c *comparison) compareProgramTenants(previous, desired structs.AgentProgram) {
+	for _, tenant := range previous.Tenants {
+		if slices.Contains(desired.Tenants, tenant) {
 			continue
 		}
-		programs := c.input.Usage.ofPair(earlier.Name, tenant)
-		c.cause(Consequence{
+		programs := c.input.Usage.countByProgramAndTenant(previous.Name, tenant)
+		c.addConsequence(Consequence{
 			Kind:     RejectRequests,
-			Object:   objectName("AgentProgram", earlier.Name),
+			Object:   objectName("AgentProgram", previous.Name),
 			Programs: programs,
-			Detail:   fmt.Sprintf("tenant %s may open it no more, also as a sub-agent; %s go on", tenant, countText(programs)),
+			Detail:   fmt.Sprintf("tenant %s may open it no more, also as a sub-agent; %s go on", tenant, formatProgramCount(programs)),
 		})
 	}
 }
 
-func (c *comparison) programTargets(earlier, wanted structs.AgentProgram) {
-	programs := c.input.Usage.ofProgram(earlier.Name)
-	for _, model := range earlier.Models {
-		if !slices.Contains(wanted.Models, model) {
-			c.lostTarget(earlier.Name, "model "+string(model), programs)
+func (c *comparison) compareProgramTargets(previous, desired structs.AgentProgram) {
+	programs := c.input.Usage.countByProgram(previous.Name)
+	for _, model := range previous.Models {
+		if !slices.Contains(desired.Models, model) {
+			c.addRemovedTarget(previous.Name, "model "+string(model), programs)
 		}
 	}
-	for _, tool := range earlier.Tools {
-		if !slices.Contains(wanted.Tools, tool) {
-			c.lostTarget(earlier.Name, "tool "+string(tool), programs)
+	for _, tool := range previous.Tools {
+		if !slices.Contains(desired.Tools, tool) {
+			c.addRemovedTarget(previous.Name, "tool "+string(tool), programs)
 		}
 	}
 }
 
-func (c *comparison) lostTarget(program structs.ProgramName, target string, programs int) {
-	c.cause(Consequence{
+func (c *comparison) addRemovedTarget(program structs.ProgramName, target string, programs int) {
+	c.addConsequence(Consequence{
 		Kind:     RejectRequests,
 		Object:   objectName("AgentProgram", program),
 		Programs: programs,
 		Detail:   fmt.Sprintf("its calls of %s would be refused as not permitted", target),
 	})
-	c.cutOff(program, programs, fmt.Sprintf("it may no longer call %s", target))
+	c.addInterruption(program, programs, fmt.Sprintf("it may no longer call %s", target))
 }
 
-// programPlaces names data that stays where it may no longer rest: a program
-// keeps the zones that it was opened with until it ends.
-func (c *comparison) programPlaces(earlier, wanted structs.AgentProgram) {
-	programs := c.input.Usage.ofProgram(earlier.Name)
-	c.strand(earlier.Name, "history", without(earlier.HistoryZones, wanted.HistoryZones), programs)
-	c.strand(earlier.Name, "cache", without(earlier.CacheZones, wanted.CacheZones), programs)
+// compareProgramZones reports data that remains in zones in which it is no longer
+// permitted: a program keeps the zones that it was started with until it ends.
+func (c *comparison) compareProgramZones(previous, desired structs.AgentProgram) {
+	programs := c.input.Usage.countByProgram(previous.Name)
+	c.addStrandedData(previous.Name, "history", removedZones(previous.HistoryZones, desired.HistoryZones), programs)
+	c.addStrandedData(previous.Name, "cache", removedZones(previous.CacheZones, desired.CacheZones), programs)
 }
 
-func (c *comparison) strand(program structs.ProgramName, data string, lost []structs.ZoneName, programs int) {
-	if len(lost) == 0 {
+func (c *comparison) addStrandedData(program structs.ProgramName, data string, removedZones []structs.ZoneName, programs int) {
+	if len(removedZones) == 0 {
 		return
 	}
-	c.harm(Harm{
+	c.addHarm(Harm{
 		Name:     "strand-program-" + string(program),
 		Kind:     DataStranded,
 		Object:   objectName("AgentProgram", program),
 		Programs: programs,
-		Detail:   fmt.Sprintf("%s of %s may stay in %s, where it may no longer rest, until they end", data, countText(programs), zoneText(lost)),
+		Detail:   fmt.Sprintf("%s of %s may stay in %s, where it may no longer rest, until they end", data, formatProgramCount(programs), formatZones(removedZones)),
 	})
 }
 
-// programTerms reports other terms. A program keeps those that it was opened
-// with; the length of an answer alone is taken from the declaration at each call.
-func (c *comparison) programTerms(earlier, wanted structs.AgentProgram) {
-	object := objectName("AgentProgram", earlier.Name)
-	if earlier.Budget != wanted.Budget || earlier.Priority != wanted.Priority ||
-		earlier.DeadlineMilliseconds != wanted.DeadlineMilliseconds || earlier.IdleMilliseconds != wanted.IdleMilliseconds {
-		c.cause(Consequence{Kind: ChangeSettings, Object: object,
+// compareProgramSettings reports changed settings. A program keeps the settings that it
+// was started with, except for the maximum answer length, which is read from the
+// declaration at each call.
+func (c *comparison) compareProgramSettings(previous, desired structs.AgentProgram) {
+	object := objectName("AgentProgram", previous.Name)
+	if previous.Budget != desired.Budget || previous.Priority != desired.Priority ||
+		previous.DeadlineMilliseconds != desired.DeadlineMilliseconds || previous.IdleMilliseconds != desired.IdleMilliseconds {
+		c.addConsequence(Consequence{Kind: ChangeSettings, Object: object,
 			Detail: "budget, deadline, idle time and priority hold for programs opened from now on; those under way keep theirs"})
 	}
-	programs := c.input.Usage.ofProgram(earlier.Name)
-	if earlier.MaxAnswerTokens != wanted.MaxAnswerTokens && programs != 0 {
-		c.cause(Consequence{
+	programs := c.input.Usage.countByProgram(previous.Name)
+	if previous.MaxAnswerTokens != desired.MaxAnswerTokens && programs != 0 {
+		c.addConsequence(Consequence{
 			Kind:     ChangeSettings,
 			Object:   object,
 			Programs: programs,
-			Detail:   fmt.Sprintf("answers to further calls of %s are bounded by %d tokens", countText(programs), wanted.MaxAnswerTokens),
+			Detail:   fmt.Sprintf("answers to further calls of %s are bounded by %d tokens", formatProgramCount(programs), desired.MaxAnswerTokens),
 		})
 	}
 }
 
-// unserved reports a program that no engine or no replica could serve while
-// zones drain, although the declarations as such name places for it. Programs
-// under way are bound to the cache zones that they were opened with.
-func (c *comparison) unserved(program structs.AgentProgram) {
+// checkServable reports a program that no engine or no replica could serve because
+// zones drain, although its declaration has zones for it. Running programs are bound to
+// the cache zones that they were started with.
+func (c *comparison) checkServable(program structs.AgentProgram) {
 	object := objectName("AgentProgram", program.Name)
-	if len(c.new.openZones(program.HistoryZones)) == 0 {
-		c.cause(Consequence{Kind: RejectRequests, Object: object, Detail: "opening it would be refused: all its history zones drain"})
+	if len(c.afterIndex.openZones(program.HistoryZones)) == 0 {
+		c.addConsequence(Consequence{Kind: RejectRequests, Object: object, Detail: "opening it would be refused: all its history zones drain"})
 	}
 	for _, model := range program.Models {
-		if !c.new.serves(model, program.CacheZones) {
-			c.cause(Consequence{Kind: RejectRequests, Object: object,
+		if !c.afterIndex.serves(model, program.CacheZones) {
+			c.addConsequence(Consequence{Kind: RejectRequests, Object: object,
 				Detail: fmt.Sprintf("calls of model %s by programs opened from now on would be refused: no open zone may hold their cache", model)})
 		}
 	}
-	earlier := c.old.programs[program.Name]
-	for _, model := range earlier.Models {
-		if c.old.serves(model, earlier.CacheZones) && !c.new.serves(model, earlier.CacheZones) {
-			c.cutOff(program.Name, c.input.Usage.ofProgram(program.Name),
+	previous := c.beforeIndex.programs[program.Name]
+	for _, model := range previous.Models {
+		if c.beforeIndex.serves(model, previous.CacheZones) && !c.afterIndex.serves(model, previous.CacheZones) {
+			c.addInterruption(program.Name, c.input.Usage.countByProgram(program.Name),
 				fmt.Sprintf("no engine serves model %s in an open zone among those that they were opened with", model))
 		}
 	}
 }
 
-// serves reports whether an open zone among zones holds the model.
+// serves reports whether one of the given zones is open and has replicas of the model.
 func (i index) serves(model structs.ModelName, zones []structs.ZoneName) bool {
 	for _, zone := range i.openZones(zones) {
 		if i.models[model].ReplicasPerZone[zone] > 0 {
@@ -194,45 +196,45 @@
 	return false
 }
 
-// tool reports calls that meet another service, and programs under way that
-// may not send their data to its new zone.
-func (c *comparison) tool(tool structs.Tool) {
-	wanted, kept := c.new.tools[tool.Name]
-	if !kept || wanted == tool {
+// compareTool reports calls that will use another service, and running programs that
+// may not send their data to the tool's new zone.
+func (c *comparison) compareTool(tool structs.Tool) {
+	desired, isKept := c.afterIndex.tools[tool.Name]
+	if !isKept || desired == tool {
 		return
 	}
 	object := objectName("Tool", tool.Name)
-	if wanted.Address != tool.Address {
-		c.cause(Consequence{Kind: ChangeSettings, Object: object, Detail: "calls dispatched from now on go to " + wanted.Address})
+	if desired.Address != tool.Address {
+		c.addConsequence(Consequence{Kind: ChangeSettings, Object: object, Detail: "calls dispatched from now on go to " + desired.Address})
 	}
-	if tool.Repeatable != wanted.Repeatable {
-		c.cause(Consequence{Kind: ChangeSettings, Object: object,
-			Detail: fmt.Sprintf("calls accepted from now on count as repeatable: %t", wanted.Repeatable)})
+	if tool.Repeatable != desired.Repeatable {
+		c.addConsequence(Consequence{Kind: ChangeSettings, Object: object,
+			Detail: fmt.Sprintf("calls accepted from now on count as repeatable: %t", desired.Repeatable)})
 	}
 	for _, program := range c.before.Programs {
 		policy := placement.Policy{HistoryZones: program.HistoryZones, CacheZones: program.CacheZones}
-		if slices.Contains(program.Tools, tool.Name) && placement.Check(policy, placement.ToolArguments, wanted.Zone) != nil {
-			c.cutOff(program.Name, c.input.Usage.ofProgram(program.Name),
-				fmt.Sprintf("tool %s moves to %s, where their data may not go", tool.Name, wanted.Zone))
+		if slices.Contains(program.Tools, tool.Name) && placement.Check(policy, placement.ToolArguments, desired.Zone) != nil {
+			c.addInterruption(program.Name, c.input.Usage.countByProgram(program.Name),
+				fmt.Sprintf("tool %s moves to %s, where their data may not go", tool.Name, desired.Zone))
 		}
 	}
 }
 
-func overlaps(one, other []string) bool {
-	for _, value := range one {
-		if slices.Contains(other, value) {
+func overlaps(a, b []string) bool {
+	for _, value := range a {
+		if slices.Contains(b, value) {
 			return true
 		}
 	}
 	return false
 }
 
-func without(zones, kept []structs.ZoneName) []structs.ZoneName {
-	var lost []structs.ZoneName
+func removedZones(zones, kept []structs.ZoneName) []structs.ZoneName {
+	var removed []structs.ZoneName
 	for _, zone := range zones {
 		if !slices.Contains(kept, zone) {
-			lost = append(lost, zone)
+			removed = append(removed, zone)
 		}
 	}
-	return lost
+	return removed
 }
--- a/internal/schedule/admission_test.go
+++ b/internal/schedule/admission_test.go
@@ -12,19 +12,19 @@
 func TestNewProgramsNeedMemoryForGrowth(t *testing.T) {
 	engine, request := idleEngine("one"), testRequest()
 	engine.CacheUsedTokens = 80_000
-	require.True(t, hasRoom(&engine, request))
+	require.True(t, hasMemoryFor(&engine, request))
 	request.ExpectedGrowth = 20_000
-	require.False(t, hasRoom(&engine, request), "programs of its name grow long")
+	require.False(t, hasMemoryFor(&engine, request), "the expected growth exceeds the free cache")
 	request.ExpectedGrowth = 0
 	engine.CacheUsedTokens = 90_000
-	require.False(t, hasRoom(&engine, request))
+	require.False(t, hasMemoryFor(&engine, request))
 	engine.DispatchedTokens, engine.CacheUsedTokens = 90_000, 0
-	require.False(t, hasRoom(&engine, request), "what was sent since the report counts")
+	require.False(t, hasMemoryFor(&engine, request), "dispatches since the report count")
 	engine.CacheCapacityTokens = 0
-	require.True(t, hasRoom(&engine, request), "nothing is known of the engine's memory")
+	require.True(t, hasMemoryFor(&engine, request), "the engine does not report its capacity")
 }
 
-// fullEngines has no room for a new program anywhere.
+// fullEngines returns engines without memory for a new program.
 func fullEngines() *Snapshot {
 	snapshot := threeEngines()
 	for index := range snapshot.Engines {
@@ -35,14 +35,14 @@
 
 func TestNewProgramsAreDeferredOnlyIfNoEngineHasMemory(t *testing.T) {
 	snapshot := fullEngines()
-	require.Equal(t, admissionInterval, chosen(t, "program-aware", snapshot, testRequest()).Defer)
+	require.Equal(t, admissionInterval, mustChoose(t, "program-aware", snapshot, testRequest()).Defer)
 	snapshot.Engines[1].CacheUsedTokens = 0
 	snapshot.Engines[1].Running = 15
-	choice := chosen(t, "program-aware", snapshot, testRequest())
+	choice := mustChoose(t, "program-aware", snapshot, testRequest())
 	require.Zero(t, choice.Defer)
 	require.Equal(t, structs.EngineID("two"), choice.Engine)
 	for _, baseline := range []string{"affinity", "least-loaded", "random-two", "round-robin"} {
-		require.Zero(t, chosen(t, baseline, fullEngines(), testRequest()).Defer, baseline)
+		require.Zero(t, mustChoose(t, baseline, fullEngines(), testRequest()).Defer, baseline)
 	}
 }
 
@@ -56,16 +56,16 @@
 	for name, change := range changes {
 		request := testRequest()
 		change(request)
-		require.Zero(t, chosen(t, "program-aware", fullEngines(), request).Defer, name)
+		require.Zero(t, mustChoose(t, "program-aware", fullEngines(), request).Defer, name)
 	}
 }
 
 func TestDeferralEndsBeforeDeadline(t *testing.T) {
 	request := testRequest()
-	half := request.Started.Add(request.Deadline.Sub(request.Started) / 2)
-	for at, held := range map[time.Time]time.Duration{half.Add(-time.Millisecond): admissionInterval, half: 0} {
-		choice, err := policyOf(t, "program-aware").Choose(at, fullEngines(), request, testRandom())
+	halfway := request.Started.Add(request.Deadline.Sub(request.Started) / 2)
+	for at, expected := range map[time.Time]time.Duration{halfway.Add(-time.Millisecond): admissionInterval, halfway: 0} {
+		choice, err := mustNew(t, "program-aware").Choose(at, fullEngines(), request, testRandom())
 		require.NoError(t, err)
-		require.Equal(t, held, choice.Defer)
+		require.Equal(t, expected, choice.Defer)
 	}
 }
--- a/internal/schedule/baseline_test.go
+++ b/internal/schedule/baseline_test.go
@@ -19,8 +19,8 @@
 	return snapshot
 }
 
-func chosen(t *testing.T, policy string, snapshot *Snapshot, request *Request) Choice {
-	choice, err := policyOf(t, policy).Choose(testNow, snapshot, request, testRandom())
+func mustChoose(t *testing.T, policy string, snapshot *Snapshot, request *Request) Choice {
+	choice, err := mustNew(t, policy).Choose(testNow, snapshot, request, testRandom())
 	require.NoError(t, err)
 	return choice
 }
@@ -29,19 +29,19 @@
 	snapshot := threeEngines()
 	snapshot.Engines[0].Running = 5
 	snapshot.Engines[1].Running = 6
-	require.Equal(t, structs.EngineID("one"), chosen(t, "least-loaded", snapshot, testRequest()).Engine)
+	require.Equal(t, structs.EngineID("one"), mustChoose(t, "least-loaded", snapshot, testRequest()).Engine)
 	snapshot.Engines[0].DispatchedStreams = 2
-	require.Equal(t, structs.EngineID("two"), chosen(t, "least-loaded", snapshot, testRequest()).Engine)
+	require.Equal(t, structs.EngineID("two"), mustChoose(t, "least-loaded", snapshot, testRequest()).Engine)
 }
 
 func TestRoundRobinDistributesEvenly(t *testing.T) {
-	policy, seen := policyOf(t, "round-robin"), map[structs.EngineID]int{}
+	policy, calls := mustNew(t, "round-robin"), map[structs.EngineID]int{}
 	for range 9 {
 		choice, err := policy.Choose(testNow, threeEngines(), testRequest(), nil)
 		require.NoError(t, err)
-		seen[choice.Engine]++
+		calls[choice.Engine]++
 	}
-	require.Equal(t, map[structs.EngineID]int{"one": 3, "two": 3, "three": 3}, seen)
+	require.Equal(t, map[structs.EngineID]int{"one": 3, "two": 3, "three": 3}, calls)
 }
 
 func TestAffinityChoosesLongestPrefix(t *testing.T) {
@@ -49,14 +49,14 @@
 	request.CachedTokens = map[structs.EngineID]int64{"one": 10, "three": 900}
 	snapshot := threeEngines()
 	snapshot.Engines[2].Running = 30
-	require.Equal(t, structs.EngineID("three"), chosen(t, "affinity", snapshot, request).Engine)
+	require.Equal(t, structs.EngineID("three"), mustChoose(t, "affinity", snapshot, request).Engine)
 }
 
 func TestRandomTwoNeverChoosesMostLoaded(t *testing.T) {
 	snapshot, random := threeEngines(), testRandom()
 	snapshot.Engines[1].Running = 30
 	for range 50 {
-		choice, err := policyOf(t, "random-two").Choose(testNow, snapshot, testRequest(), random)
+		choice, err := mustNew(t, "random-two").Choose(testNow, snapshot, testRequest(), random)
 		require.NoError(t, err)
 		require.NotEqual(t, structs.EngineID("two"), choice.Engine)
 	}
--- a/internal/schedule/estimator.go
+++ b/internal/schedule/estimator.go
@@ -9,76 +9,75 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// estimatorWeight is the weight of a new observation in the moving average.
+// estimatorWeight is the weight of a new observation in a moving average.
 const estimatorWeight = 0.1
 
-// movingMeans keeps a moving average for each program name. It is safe for
-// concurrent use; reading takes no lock.
-type movingMeans struct {
-	mutex sync.Mutex
-	means atomic.Pointer[map[structs.ProgramName]float64]
+// movingAverages holds an exponential moving average for each program name. It is safe
+// for concurrent use; reads take no lock.
+type movingAverages struct {
+	mutex    sync.Mutex
+	averages atomic.Pointer[map[structs.ProgramName]float64]
 }
 
-func (m *movingMeans) observe(name structs.ProgramName, value float64) {
+func (m *movingAverages) observe(name structs.ProgramName, value float64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	after := map[structs.ProgramName]float64{}
-	if before := m.means.Load(); before != nil {
-		maps.Copy(after, *before)
+	averages := map[structs.ProgramName]float64{}
+	if current := m.averages.Load(); current != nil {
+		maps.Copy(averages, *current)
 	}
-	mean, seen := after[name]
-	if !seen {
-		mean = value
+	average, exists := averages[name]
+	if !exists {
+		average = value
 	}
-	after[name] = mean + estimatorWeight*(value-mean)
-	m.means.Store(&after)
+	averages[name] = average + estimatorWeight*(value-average)
+	m.averages.Store(&averages)
 }
 
-// mean is zero for names never observed.
-func (m *movingMeans) mean(name structs.ProgramName) float64 {
-	if means := m.means.Load(); means != nil {
-		return (*means)[name]
+// average returns the average for a name, or zero for a name without observations.
+func (m *movingAverages) average(name structs.ProgramName) float64 {
+	if averages := m.averages.Load(); averages != nil {
+		return (*averages)[name]
 	}
 	return 0
 }
 
-// PauseEstimator learns how long programs of a name stay away from the models
-// between two calls: a tool runs, or a person acts.
-type PauseEstimator struct{ pauses movingMeans }
+// PauseEstimator estimates, by program name, the time between two model calls of a
+// program, during which a tool runs or a person acts.
+type PauseEstimator struct{ pauses movingAverages }
 
-// NewPauseEstimator returns an estimator that has seen nothing.
+// NewPauseEstimator returns an estimator without observations.
 func NewPauseEstimator() *PauseEstimator { return &PauseEstimator{} }
 
-// Observe takes the time between the end of one model call and the arrival of
-// the program's next.
+// Observe records the time between the end of a model call and the arrival of the
+// program's next call.
 func (p *PauseEstimator) Observe(name structs.ProgramName, pause time.Duration) {
 	p.pauses.observe(name, float64(pause))
 }
 
-// Expected returns how long the next pause is expected to last: the caller's
-// hint where there is one, else the mean of the name's earlier pauses, or zero
-// where nothing is known.
+// Expected returns the expected duration of the next pause: the caller's hint if there
+// is one, otherwise the average of earlier pauses of the name, or zero if there are
+// none.
 func (p *PauseEstimator) Expected(name structs.ProgramName, hint time.Duration) time.Duration {
 	if hint > 0 {
 		return hint
 	}
-	return time.Duration(p.pauses.mean(name))
+	return time.Duration(p.pauses.average(name))
 }
 
-// GrowthEstimator learns by how many tokens the prompts of a name's programs
-// grow from their first call to their last.
-type GrowthEstimator struct{ growth movingMeans }
+// GrowthEstimator estimates, by program name, the number of tokens by which prompts
+// grow from a program's first call to its last.
+type GrowthEstimator struct{ growth movingAverages }
 
-// NewGrowthEstimator returns an estimator that has seen nothing.
+// NewGrowthEstimator returns an estimator without observations.
 func NewGrowthEstimator() *GrowthEstimator { return &GrowthEstimator{} }
 
-// Observe takes the growth of a program that has ended, in tokens.
+// Observe records the growth of a program that has ended, in tokens.
 func (g *GrowthEstimator) Observe(name structs.ProgramName, tokens int64) {
 	g.growth.observe(name, float64(tokens))
 }
 
-// Expected returns the growth to expect, in tokens, or zero where nothing is
-// known.
+// Expected returns the expected growth in tokens, or zero if there are no observations.
 func (g *GrowthEstimator) Expected(name structs.ProgramName) int64 {
-	return int64(g.growth.mean(name))
+	return int64(g.growth.average(name))
 }
--- a/internal/schedule/filter_model.go
+++ b/internal/schedule/filter_model.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// modelLoaded allows engines that hold the request's model and adapter.
+// modelLoaded allows engines that have loaded the request's model and adapter.
 type modelLoaded struct{}
 
 // Name returns "model-loaded".
 func (modelLoaded) Name() string { return "model-loaded" }
 
-// Allow reports whether the engine serves whole calls of the model, with the
-// adapter where the request names one.
+// Allow reports whether the engine has loaded the model and, if the request names an
+// adapter, the adapter.
 func (modelLoaded) Allow(_ time.Time, engine *Engine, request *Request) bool {
 	for _, loaded := range engine.Loaded {
 		if loaded.Model == request.Model {
--- a/internal/schedule/filter_test.go
+++ b/internal/schedule/filter_test.go
@@ -16,7 +16,7 @@
 
 var testNow = time.Date(2026, time.March, 1, 12, 0, 0, 0, time.UTC)
 
-// idleEngine is an engine that may serve idleRequest.
+// idleEngine returns an engine that can serve testRequest.
 func idleEngine(id structs.EngineID) Engine {
 	return Engine{EngineStatus: structs.EngineStatus{
 		ID: id, Incarnation: 3, Zone: "a", Address: "http://" + string(id), Role: structs.RoleMixed,
@@ -39,15 +39,15 @@
 		filter Filter
 		change func(*Engine, *Request)
 	}{
-		"zone not permitted":   {permittedPlace{}, func(e *Engine, _ *Request) { e.Zone = "b" }},
-		"no zone permitted":    {permittedPlace{}, func(_ *Engine, r *Request) { r.CacheZones = nil }},
-		"leaving":              {serving{}, func(e *Engine, _ *Request) { e.Leaving = true }},
-		"prefill role":         {serving{}, func(e *Engine, _ *Request) { e.Role = structs.RolePrefill }},
-		"excluded":             {serving{}, func(_ *Engine, r *Request) { r.Excluded = map[structs.EngineID]bool{"one": true} }},
+		"zone not permitted":   {permittedZone{}, func(e *Engine, _ *Request) { e.Zone = "b" }},
+		"no zone permitted":    {permittedZone{}, func(_ *Engine, r *Request) { r.CacheZones = nil }},
+		"leaving":              {acceptsWork{}, func(e *Engine, _ *Request) { e.Leaving = true }},
+		"prefill role":         {acceptsWork{}, func(e *Engine, _ *Request) { e.Role = structs.RolePrefill }},
+		"excluded":             {acceptsWork{}, func(_ *Engine, r *Request) { r.Excluded = map[structs.EngineID]bool{"one": true} }},
 		"model not loaded":     {modelLoaded{}, func(e *Engine, _ *Request) { e.Loaded = nil }},
 		"other model loaded":   {modelLoaded{}, func(_ *Engine, r *Request) { r.Model = "other" }},
 		"adapter not loaded":   {modelLoaded{}, func(_ *Engine, r *Request) { r.Adapter = "other" }},
-		"prompt over capacity": {room{}, func(e *Engine, _ *Request) { e.CacheCapacityTokens = 1_099 }},
+		"prompt over capacity": {cacheCapacity{}, func(e *Engine, _ *Request) { e.CacheCapacityTokens = 1_099 }},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -67,9 +67,9 @@
 		request.CacheZones = []structs.ZoneName{"b"}
 		snapshot := &Snapshot{Engines: []Engine{idleEngine("one")}}
 		_, err = policy.Choose(testNow, snapshot, request, testRandom())
-		var place *failure.NoPermittedPlace
-		require.ErrorAs(t, err, &place, name)
-		require.Equal(t, "b", place.Zones)
+		var notPermitted *failure.NoPermittedPlace
+		require.ErrorAs(t, err, &notPermitted, name)
+		require.Equal(t, "b", notPermitted.Zones)
 
 		snapshot.Engines[0].Leaving = true
 		_, err = policy.Choose(testNow, snapshot, testRequest(), testRandom())
@@ -79,7 +79,7 @@
 	}
 }
 
-// drawEngine draws an engine that may break any of the hard rules.
+// drawEngine draws an engine that may violate any of the mandatory rules.
 func drawEngine(t *rapid.T, index int) Engine {
 	engine := idleEngine(structs.EngineID(fmt.Sprintf("engine-%d", index)))
 	engine.Zone = rapid.SampledFrom([]structs.ZoneName{"a", "b", "c"}).Draw(t, "zone")
@@ -116,9 +116,9 @@
 	return request
 }
 
-// Whatever the snapshot holds, no policy chooses an engine that a hard rule
-// forbids, or has one as the source of a move across a forbidden place, and
-// each refuses with a typed failure that says it did not run.
+// No policy chooses an engine that a mandatory rule excludes, or a KV cache move from
+// an engine outside the permitted zones. Every error has a failure type and states that
+// the call did not run.
 func TestNoPolicyViolatesMandatoryRules(t *testing.T) {
 	for _, name := range append(Names(), Variants()...) {
 		policy, err := New(name)
@@ -132,30 +132,30 @@
 			request := drawRequest(t, snapshot.Engines)
 			seed := rapid.Uint64().Draw(t, "seed")
 			choice, err := policy.Choose(testNow, snapshot, request, rand.New(rand.NewPCG(seed, 0)))
-			again, errAgain := policyOf(t, name).Choose(testNow, snapshot, request, rand.New(rand.NewPCG(seed, 0)))
+			again, errAgain := mustNew(t, name).Choose(testNow, snapshot, request, rand.New(rand.NewPCG(seed, 0)))
 			if err != nil {
-				known, typed := failure.As(err)
-				require.True(t, typed)
-				require.Equal(t, failure.NotRun, known.Outcome())
-				require.Positive(t, known.Retry().After)
+				failed, isFailure := failure.As(err)
+				require.True(t, isFailure)
+				require.Equal(t, failure.NotRun, failed.Outcome())
+				require.Positive(t, failed.Retry().After)
 				return
 			}
 			requireAllowed(t, snapshot, request, choice)
 			if name != "round-robin" {
 				require.NoError(t, errAgain)
-				require.Equal(t, choice, again, "the same seed gives the same choice")
+				require.Equal(t, choice, again, "the same seed must give the same choice")
 			}
 		})
 	}
 }
 
-func policyOf(t require.TestingT, name string) Policy {
+func mustNew(t require.TestingT, name string) Policy {
 	policy, err := New(name)
 	require.NoError(t, err)
 	return policy
 }
 
-// requireAllowed restates the hard rules without the filters.
+// requireAllowed checks the mandatory rules independently of the filters.
 func requireAllowed(t *rapid.T, snapshot *Snapshot, request *Request, choice Choice) {
 	index := slices.IndexFunc(snapshot.Engines, func(e Engine) bool { return e.ID == choice.Engine })
 	require.GreaterOrEqual(t, index, 0)
--- a/internal/schedule/main_test.go
+++ b/internal/schedule/main_test.go
@@ -6,5 +6,6 @@
 	"github.com/barleyshelf/barleyshelf/internal/fuzzseed"
 )
 
-// TestMain fixes the seed of the property tests: the same verdict on every run.
+// TestMain sets a fixed seed for the property tests, so that test results are
+// reproducible.
 func TestMain(m *testing.M) { fuzzseed.Main(m, fuzzseed.Seed("1")) }
--- a/internal/schedule/prefix.go
+++ b/internal/schedule/prefix.go
@@ -8,13 +8,14 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// SharedPrefixBytes is how much of a program's first input names the start that
-// it shares with others. Shorter inputs share too little to be worth a place.
+// SharedPrefixBytes is the length of the beginning of a program's first input that
+// identifies a shared prefix. Shorter inputs share too little to be worth placing
+// together.
 const SharedPrefixBytes = 16 << 10
 
-// SharedPrefixKey names the start of a program's prompt. Programs with the same
-// model, adapter and first bytes have the same key. It is zero for inputs
-// shorter than SharedPrefixBytes.
+// SharedPrefixKey returns a key for the beginning of a program's prompt. Programs with
+// the same model, adapter and first SharedPrefixBytes of input have the same key. The
+// key is zero for shorter inputs.
 func SharedPrefixKey(model structs.ModelName, adapter string, firstInput []byte) uint64 {
 	if len(firstInput) < SharedPrefixBytes {
 		return 0
@@ -25,9 +26,10 @@
 	return max(digest.Sum64(), 1)
 }
 
-// rendezvous is the weight of an engine for a key: the engines with the highest
-// weights are the key's homes, on every daemon alike and without a message.
-func rendezvous(key uint64, engine structs.EngineID) uint64 {
+// rendezvousWeight returns the weight of an engine for a key. The engines with the
+// highest weights are preferred for the key; every daemon computes the same weights
+// without communication.
+func rendezvousWeight(key uint64, engine structs.EngineID) uint64 {
 	var prefix [8]byte
 	binary.LittleEndian.PutUint64(prefix[:], key)
 	digest := xxhash.New()
--- a/internal/schedule/program_aware.go
+++ b/internal/schedule/program_aware.go
@@ -8,13 +8,13 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// sampledEngines is how many engines are scored besides those that hold some of
-// the program's cache.
+// sampledEngines is the number of engines that are scored in addition to those that
+// hold cache of the program.
 const sampledEngines = 8
 
-// programAware is the product's policy. It predicts what each candidate costs
-// the program and the others, takes the cheapest, and hints order, retention and
-// moves to the engine.
+// programAware is the default policy. It predicts the cost of each candidate for the
+// program and for others, chooses the cheapest, and gives the engine hints on queue
+// order, cache retention and KV cache moves.
 type programAware struct {
 	name    string
 	model   CostModel
@@ -22,24 +22,24 @@
 	options options
 }
 
-// options switch parts of the policy off, to measure what each is worth.
+// options enable parts of the policy. Disabling a part shows what it contributes.
 type options struct {
-	moves, retention, order, homes, admission bool
+	moves, retention, queueOrder, prefixPlacement, admission bool
 }
 
-// defaultOptions are the parts that measurements support; the design note holds
-// the figures.
+// defaultOptions returns the options of the default policy. The design note compares
+// them.
 func defaultOptions() options {
-	return options{moves: true, retention: true, order: true, homes: true, admission: true}
+	return options{moves: true, retention: true, queueOrder: true, prefixPlacement: true, admission: true}
 }
 
-func newProgramAware(name string, chosen options) *programAware {
-	policy := &programAware{name: name, model: DefaultCostModel(), options: chosen}
+func newProgramAware(name string, options options) *programAware {
+	policy := &programAware{name: name, model: DefaultCostModel(), options: options}
 	model := &policy.model
 	policy.scorers = []Scorer{
-		predictedWait{model}, decodeSpeed{model}, cacheAffinity{model, chosen.moves}, cacheRoom{model},
+		queueWait{model}, decodeTime{model}, cacheAffinity{model, options.moves}, cacheEviction{model},
 	}
-	if chosen.homes {
+	if options.prefixPlacement {
 		policy.scorers = append(policy.scorers, sharedPrefix{model, SharedPrefixBytes / 4})
 	}
 	return policy
@@ -50,86 +50,87 @@
 
 // Choose returns the candidate with the lowest predicted cost.
 func (p *programAware) Choose(now time.Time, snapshot *Snapshot, request *Request, random *rand.Rand) (Choice, error) {
-	passed, err := eligible(now, snapshot, request)
+	eligible, err := eligibleEngines(now, snapshot, request)
 	if err != nil {
 		return Choice{}, err
 	}
-	drawn := candidates(snapshot, request, passed, random)
-	withRoom := drawn
+	candidates := candidateEngines(snapshot, request, eligible, random)
+	admissibleCandidates := candidates
 	if p.options.admission {
-		withRoom = admitting(now, snapshot, request, drawn)
+		admissibleCandidates = admissible(now, snapshot, request, candidates)
 	}
-	if len(withRoom) == 0 {
-		return p.choice(now, snapshot, p.cheapest(now, snapshot, request, drawn), request, admissionInterval)
+	if len(admissibleCandidates) == 0 {
+		return p.choiceWithHints(now, snapshot, p.cheapest(now, snapshot, request, candidates), request, admissionInterval)
 	}
-	return p.choice(now, snapshot, p.cheapest(now, snapshot, request, withRoom), request, 0)
+	return p.choiceWithHints(now, snapshot, p.cheapest(now, snapshot, request, admissibleCandidates), request, 0)
 }
 
 // cheapest returns the candidate with the lowest predicted cost.
-func (p *programAware) cheapest(now time.Time, snapshot *Snapshot, request *Request, drawn []int) *Engine {
+func (p *programAware) cheapest(now time.Time, snapshot *Snapshot, request *Request, candidates []int) *Engine {
 	var best *Engine
-	var lowest time.Duration
-	for _, index := range drawn {
+	var lowestCost time.Duration
+	for _, index := range candidates {
 		engine := &snapshot.Engines[index]
 		cost := p.cost(now, engine, request)
-		if best == nil || cost < lowest {
-			best, lowest = engine, cost
+		if best == nil || cost < lowestCost {
+			best, lowestCost = engine, cost
 		}
 	}
 	return best
 }
 
 func (p *programAware) cost(now time.Time, engine *Engine, request *Request) time.Duration {
-	var sum time.Duration
+	var total time.Duration
 	for _, scorer := range p.scorers {
-		sum += scorer.Score(now, engine, request)
+		total += scorer.Score(now, engine, request)
 	}
-	return sum
+	return total
 }
 
-// candidates returns the engines that hold some of the program's cache, its
-// parent's engine, and a random sample of the others.
-func candidates(snapshot *Snapshot, request *Request, passed []int, random *rand.Rand) []int {
-	known := 0
-	for position, index := range passed {
+// candidateEngines returns the engines that hold cache of the program, its parent's
+// engine, and a random sample of the others.
+func candidateEngines(snapshot *Snapshot, request *Request, eligible []int, random *rand.Rand) []int {
+	withCache := 0
+	for position, index := range eligible {
 		id := snapshot.Engines[index].ID
-		if request.cachedOn(id) > 0 || id == request.ParentEngine {
-			passed[known], passed[position] = passed[position], passed[known]
-			known++
+		if request.cachedTokensOn(id) > 0 || id == request.ParentEngine {
+			eligible[withCache], eligible[position] = eligible[position], eligible[withCache]
+			withCache++
 		}
 	}
-	sampled := sample(passed[known:], sampledEngines, random)
-	return passed[:known+len(sampled)]
+	sampled := sample(eligible[withCache:], sampledEngines, random)
+	return eligible[:withCache+len(sampled)]
 }
 
-// choice fills in the hints for the chosen engine; held is how long to hold the
-// call back first. The error is a
-// *failure.Overloaded where the call could not start before the deadline.
-func (p *programAware) choice(now time.Time, snapshot *Snapshot, engine *Engine, request *Request, held time.Duration) (Choice, error) {
-	made := plainChoice(engine)
-	made.Defer = held
-	tokens := missing(engine, request)
-	wait := predictedWait{&p.model}.Score(now, engine, request)
-	if source, held := p.moveSource(snapshot, engine, request); held > 0 {
-		made.MoveFrom = source
-		wait += p.model.MoveSetup + time.Duration(held-request.cachedOn(engine.ID))*p.model.MovePerToken
-		tokens = max(0, request.PromptTokens-held)
+// choiceWithHints returns the choice of an engine with hints; deferFor is how long to
+// defer the call first. The error is a *failure.Overloaded if the call could not start
+// before the deadline.
+func (p *programAware) choiceWithHints(now time.Time, snapshot *Snapshot, engine *Engine, request *Request, deferFor time.Duration) (Choice, error) {
+	choice := choiceWithoutHints(engine)
+	choice.Defer = deferFor
+	uncached := uncachedTokens(engine, request)
+	wait := queueWait{&p.model}.Score(now, engine, request)
+	if source, cached := p.moveSource(snapshot, engine, request); cached > 0 {
+		choice.MoveFrom = source
+		wait += p.model.MoveSetup + time.Duration(cached-request.cachedTokensOn(engine.ID))*p.model.MovePerToken
+		uncached = max(0, request.PromptTokens-cached)
 	}
-	made.PredictedWait = wait + time.Duration(tokens)*p.model.PrefillPerToken
-	if late := beyondDeadline(now, request, made.PredictedWait); late > 0 {
-		return Choice{}, &failure.Overloaded{Resource: "engines", Wait: late}
+	choice.PredictedWait = wait + time.Duration(uncached)*p.model.PrefillPerToken
+	if lateness := delayBeyondDeadline(now, request, choice.PredictedWait); lateness > 0 {
+		return Choice{}, &failure.Overloaded{Resource: "engines", Wait: lateness}
 	}
-	if p.options.order {
-		made.Priority = enginePriority(request)
+	if p.options.queueOrder {
+		choice.Priority = enginePriority(request)
 	}
 	if p.options.retention {
-		made.Retain = retention(request)
+		choice.Retain = cacheRetention(request)
 	}
-	return made, nil
+	return choice, nil
 }
 
-// moveSource returns the engine whose copy of the program's cache is worth
-// moving to the chosen engine, and its length; zero where none is.
+// moveSource returns the engine from which moving the program's cache to the chosen
+// engine is cheaper than recomputing it, and the length of that cache; zero if there is
+// none.
 func (p *programAware) moveSource(snapshot *Snapshot, engine *Engine, request *Request) (structs.EngineID, int64) {
 	if !p.options.moves {
 		return "", 0
@@ -137,27 +138,27 @@
 	affinity := cacheAffinity{&p.model, true}
 	for index := range snapshot.Engines {
 		source := &snapshot.Engines[index]
-		held := request.cachedOn(source.ID)
-		if source.ID == engine.ID || held != request.longestCached(engine) || held == 0 {
+		cached := request.cachedTokensOn(source.ID)
+		if source.ID == engine.ID || cached != request.longestCachedElsewhere(engine) || cached == 0 {
 			continue
 		}
-		if !(permittedPlace{}).Allow(time.Time{}, source, request) {
+		if !(permittedZone{}).Allow(time.Time{}, source, request) {
 			continue
 		}
-		if affinity.move(engine, request, held) < affinity.compute(engine, missing(engine, request)) {
-			return source.ID, held
+		if affinity.moveCost(engine, request, cached) < affinity.computeCost(engine, uncachedTokens(engine, request)) {
+			return source.ID, cached
 		}
 	}
 	return "", 0
 }
 
-// beyondDeadline returns how long after the deadline a call would start that
-// waits as predicted, and zero where it would start in time. A program that is
-// late already is not refused for it: its caller still waits.
-func beyondDeadline(now time.Time, request *Request, wait time.Duration) time.Duration {
-	left := request.Deadline.Sub(now)
-	if request.Deadline.IsZero() || left <= 0 || wait <= left {
+// delayBeyondDeadline returns how long after the deadline a call would start after the
+// predicted wait, or zero if it would start in time. A program whose deadline has
+// already passed is not rejected, because its caller is still waiting.
+func delayBeyondDeadline(now time.Time, request *Request, wait time.Duration) time.Duration {
+	remaining := request.Deadline.Sub(now)
+	if request.Deadline.IsZero() || remaining <= 0 || wait <= remaining {
 		return 0
 	}
-	return wait - left
+	return wait - remaining
 }
--- a/internal/schedule/registry.go
+++ b/internal/schedule/registry.go
@@ -8,7 +8,8 @@
 	"github.com/barleyshelf/barleyshelf/internal/failure"
 )
 
-// DefaultPolicy names the policy that daemons use unless declared otherwise.
+// DefaultPolicy is the name of the policy that daemons use unless another one is
+// declared.
 const DefaultPolicy = "program-aware"
 
 var constructors = map[string]func() Policy{
@@ -19,13 +20,13 @@
 	"round-robin":   func() Policy { return &roundRobin{} },
 }
 
-// variants are the default policy with one part switched over. They exist to
-// measure what the part is worth and are not offered to operators.
+// variants are modifications of the default policy with one option toggled. They show
+// what the option contributes and are not offered to operators.
 var variants = map[string]func(*options){
 	"program-aware/no-admission": func(o *options) { o.admission = !o.admission },
-	"program-aware/no-homes":     func(o *options) { o.homes = !o.homes },
+	"program-aware/no-homes":     func(o *options) { o.prefixPlacement = !o.prefixPlacement },
 	"program-aware/no-moves":     func(o *options) { o.moves = !o.moves },
-	"program-aware/no-order":     func(o *options) { o.order = !o.order },
+	"program-aware/no-order":     func(o *options) { o.queueOrder = !o.queueOrder },
 	"program-aware/no-retention": func(o *options) { o.retention = !o.retention },
 }
 
@@ -34,14 +35,14 @@
 	return slices.Sorted(maps.Keys(constructors))
 }
 
-// Variants returns the names of the default policy's variants, sorted. New
-// accepts them too.
+// Variants returns the names of the default policy's variants, sorted. New accepts them
+// too.
 func Variants() []string {
 	return slices.Sorted(maps.Keys(variants))
 }
 
-// New returns a policy by name; the empty name gives the default policy.
-// The error is an *UnknownPolicy.
+// New returns the policy with the given name; the empty name selects the default
+// policy. The error is an *UnknownPolicy.
 func New(name string) (Policy, error) {
 	if name == "" {
 		name = DefaultPolicy
@@ -49,17 +50,17 @@
 	if construct, known := constructors[name]; known {
 		return construct(), nil
 	}
-	if change, known := variants[name]; known {
-		chosen := defaultOptions()
-		change(&chosen)
-		return newProgramAware(name, chosen), nil
+	if toggle, known := variants[name]; known {
+		selected := defaultOptions()
+		toggle(&selected)
+		return newProgramAware(name, selected), nil
 	}
 	return nil, &UnknownPolicy{Policy: name}
 }
 
-// UnknownPolicy reports a policy name that no policy has.
+// UnknownPolicy is the error for a name that no policy has.
 type UnknownPolicy struct {
-	// Policy is the name asked for.
+	// Policy is the requested name.
 	Policy string
 }
 
@@ -73,5 +74,5 @@
 // Outcome returns NotRun.
 func (e *UnknownPolicy) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry returns that a repeat cannot succeed.
+// Retry returns that a retry cannot succeed.
 func (e *UnknownPolicy) Retry() failure.Retry { return failure.Retry{} }
--- a/internal/schedule/schedule.go
+++ b/internal/schedule/schedule.go
@@ -1,11 +1,11 @@
-// Package schedule chooses the engine that serves a model call. It is pure: a
-// policy takes a snapshot of the engines, one request, the time and a source of
-// randomness, and gives back a choice. It does no I/O, holds no goroutine and
-// reads no clock, so the simulator and the daemon run the same code.
+// Package schedule chooses the engine that serves a model call. It is pure: a policy
+// takes a snapshot of the engines, a request, the time and a source of randomness, and
+// returns a choice. It does no I/O, starts no goroutines and reads no clock, so the
+// simulator and the daemon run the same code.
 //
-// A policy is built of filters, which rule engines out, and scorers, which
-// predict what an engine costs the whole program, in time. The engine with the
-// lowest sum is chosen among a few sampled candidates.
+// A policy consists of filters, which exclude engines, and scorers, which predict what
+// an engine costs the whole program, as a duration. Among a few sampled candidates, the
+// engine with the lowest total cost is chosen.
 package schedule
 
 import (
@@ -15,92 +15,94 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Engine is one engine as this daemon sees it: its last report, which is late,
-// and what this daemon dispatched since.
+// Engine is an engine as this daemon sees it: its last report, which is delayed, and
+// what this daemon has dispatched since then.
 type Engine struct {
 	structs.EngineStatus
-	// DispatchedStreams counts streams this daemon dispatched after the report.
+	// DispatchedStreams counts the streams that this daemon dispatched after the
+	// report.
 	DispatchedStreams int
-	// DispatchedTokens are prompt tokens of those streams.
+	// DispatchedTokens counts the prompt tokens of those streams.
 	DispatchedTokens int64
 }
 
-// Snapshot is the engines known at one moment. It is immutable.
+// Snapshot is the set of engines known at one moment. It is immutable.
 type Snapshot struct {
 	Engines []Engine
 }
 
-// Request is what a policy knows of the call to place. The shape of the rest of
-// the program is not known to anyone.
+// Request describes the call to place. The further calls of the program are unknown.
 type Request struct {
 	Program structs.ProgramID
 	// Model and Adapter must be loaded on the engine; Adapter may be empty.
 	Model   structs.ModelName
 	Adapter string
-	// CacheZones are where the program's cache may rest. An empty list permits
-	// no zone.
+	// CacheZones are the zones in which the program's cache may be stored. An empty
+	// list permits no zone.
 	CacheZones []structs.ZoneName
-	// CallerZone is where this daemon stands; empty means unknown.
+	// CallerZone is the zone of this daemon; empty means unknown.
 	CallerZone structs.ZoneName
-	// PromptTokens is the length of the whole prompt, history included.
+	// PromptTokens is the length of the whole prompt, including the history.
 	PromptTokens    int64
 	MaxAnswerTokens int64
-	// CachedTokens holds the tokens of this program's prefix believed to be cached on
-	// an engine. It is a belief: engines evict without telling at once.
+	// CachedTokens maps engines to the number of tokens of this program's prefix that are
+	// assumed to be cached there. It is an estimate, because engines do not report
+	// evictions immediately.
 	CachedTokens map[structs.EngineID]int64
-	// ParentEngine holds the prefix that a sub-agent shares with its parent.
+	// ParentEngine is the engine that caches the prefix which a sub-agent shares with
+	// its parent.
 	ParentEngine structs.EngineID
-	// SharedPrefix names the long start of the prompt that programs share, as
-	// SharedPrefixKey gives it; zero means none.
+	// SharedPrefix is the key of a long prompt prefix that programs share, as returned
+	// by SharedPrefixKey; zero means none.
 	SharedPrefix uint64
-	// EngineTimeUsed is the engine time that the whole program has already got. For a
-	// sub-agent this member, Started, Deadline and Priority are those of the
-	// outermost program: its latency is the one that counts.
+	// EngineTimeUsed is the engine time that the whole program has already used. For a
+	// sub-agent, this field, Started, Deadline and Priority are those of the outermost
+	// program, because its latency is the one that matters.
 	EngineTimeUsed time.Duration
-	// Started is when the program was opened.
+	// Started is the time at which the program started.
 	Started time.Time
-	// Deadline is the wanted end of the whole program; zero means none.
+	// Deadline is the time by which the whole program should end; zero means none.
 	Deadline time.Time
-	// Priority is the declared priority of the program; higher goes first.
+	// Priority is the declared priority of the program; higher values go first.
 	Priority int
-	// ExpectedPause is how long after this call the program's next call is
-	// expected; zero means unknown, a negative value that none will come.
+	// ExpectedPause is the expected time from the end of this call to the program's
+	// next call; zero means unknown, a negative value means that no call will follow.
 	ExpectedPause time.Duration
-	// ExpectedGrowth is by how many tokens the program's prompt will grow, as a
-	// GrowthEstimator learned it; zero means unknown.
+	// ExpectedGrowth is the number of tokens by which the program's prompt is expected
+	// to grow, as estimated by a GrowthEstimator; zero means unknown.
 	ExpectedGrowth int64
-	// Excluded holds engines that already failed this call.
+	// Excluded is the set of engines that already failed this call.
 	Excluded map[structs.EngineID]bool
 }
 
-// Choice is where and how a call runs.
+// Choice is the engine for a call, with hints on how to run it.
 type Choice struct {
 	Engine      structs.EngineID
 	Address     string
 	Incarnation structs.Incarnation
-	// Priority orders the engine's queue; lower runs first.
+	// Priority is the position in the engine's queue; lower values run first.
 	Priority int
-	// MoveFrom names an engine whose KV cache of this program is to be moved to
-	// Engine before the call; empty means no move.
+	// MoveFrom is the engine from which the program's KV cache is moved to Engine
+	// before the call; empty means no move.
 	MoveFrom structs.EngineID
 	// Retain is how long the engine should keep the cache after the call.
 	Retain time.Duration
-	// Defer asks the caller of Choose to hold the call back and to choose again
-	// after this time; zero means to dispatch now. Only the first call of a
-	// program is held, while there is no memory for it.
+	// Defer tells the caller of Choose to delay the call and to choose again after this
+	// time; zero means to dispatch now. Only the first call of a program is deferred,
+	// while no engine has memory for the program.
 	Defer time.Duration
 	// PredictedWait is the predicted time to the first token.
 	PredictedWait time.Duration
 }
 
-// Policy chooses engines. It is safe for concurrent use, with a random source
-// for each goroutine.
+// Policy chooses engines. It is safe for concurrent use if each goroutine uses its own
+// random source.
 type Policy interface {
-	// Name returns the name under which New gives the policy.
+	// Name returns the name by which New returns the policy.
 	Name() string
 	// Choose returns the choice for the request. The error is a
-	// *failure.NoPermittedPlace where no known engine stands in a permitted
-	// zone, a *failure.EngineUnavailable where none of those can serve the call,
-	// and a *failure.Overloaded where they can, but not before the deadline.
+	// *failure.NoPermittedPlace if no known engine is in a permitted zone, a
+	// *failure.EngineUnavailable if none of the permitted engines can serve the call,
+	// and a *failure.Overloaded if they can, but not before the deadline.
 	Choose(now time.Time, snapshot *Snapshot, request *Request, random *rand.Rand) (Choice, error)
 }
