--- a/internal/membership/accusation.go
+++ b/internal/membership/accusation.go
@@ -9,33 +9,35 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// accusation collects the witnesses who lost a daemon at one revision. It is
-// void as soon as the daemon raises its revision.
+// accusation collects the witnesses that consider a daemon failed at one revision. It
+// is invalid as soon as the daemon raises its revision.
 type accusation struct {
 	incarnation structs.Incarnation
 	revision    uint64
 	witnesses   []witness
-	// probed is when this daemon's own probe had begun, if it is a witness.
-	probed time.Time
-	// isolated is set while this daemon seems to be cut off itself.
+	// probeStart is when this daemon began its own probe, if it is a witness.
+	probeStart time.Time
+	// isolated is set while this daemon itself seems to be disconnected.
 	isolated bool
-	// confirmed is when the witnesses became enough; far in the future before.
-	confirmed time.Time
+	// confirmedAt is when the number of witnesses became sufficient; farFuture before
+	// that.
+	confirmedAt time.Time
 }
 
-// witness is a daemon that accuses. It renews its accusation, so that one whose
-// witness is gone does not stay for ever.
+// witness is a daemon that accuses another one. It renews its accusation periodically,
+// so that an accusation whose witness is gone does not persist.
 type witness struct {
-	id    structs.NodeID
-	round uint32
-	heard time.Time
+	id          structs.NodeID
+	round       uint32
+	lastRenewed time.Time
 }
 
 const (
-	// renewal is how often a witness tells all again.
-	renewal = 5 * time.Second
-	// accusationLife is how long an accusation that is not renewed counts.
-	accusationLife = 12 * time.Second
+	// renewalInterval is the interval at which a witness renews its accusation to all
+	// daemons.
+	renewalInterval = 5 * time.Second
+	// witnessLifetime is how long an accusation counts after its last renewal.
+	witnessLifetime = 12 * time.Second
 )
 
 func (a *accusation) witness(id structs.NodeID) *witness {
@@ -47,7 +49,7 @@
 	return nil
 }
 
-func (s *State) accused(m *member) bool {
+func (s *State) isAccused(m *member) bool {
 	_, accused := s.accusations[m.node.ID]
 	return accused
 }
@@ -58,117 +60,117 @@
 		return
 	}
 	s.addWitness(subject, s.options.Self.ID, 1, "")
-	s.accusations[subject.node.ID].probed = s.now.Add(-s.timing.ProbeTimeout)
+	s.accusations[subject.node.ID].probeStart = s.now.Add(-s.timing.ProbeTimeout)
 }
 
-// receiveAccusations takes over accusations; a daemon that finds itself
-// accused contradicts.
+// receiveAccusations processes accusations from a peer. An accused daemon refutes.
 func (s *State) receiveAccusations(from *member, m *gossipv1.Message) {
-	for _, a := range m.Accusations {
-		subject, known := s.members[structs.NodeID(a.Subject)]
-		accuser, accuserKnown := s.members[structs.NodeID(a.Witness)]
+	for _, received := range m.Accusations {
+		subject, known := s.members[structs.NodeID(received.Subject)]
+		accuser, accuserKnown := s.members[structs.NodeID(received.Witness)]
 		if !known || !accuserKnown || accuser == subject || accuser.node.State == structs.NodeDead {
 			continue
 		}
-		if subject.node.State == structs.NodeDead || !current(subject, a) {
+		if subject.node.State == structs.NodeDead || !matchesRevision(subject, received) {
 			continue
 		}
 		if subject.node.ID == s.options.Self.ID {
 			s.refute(subject)
 			continue
 		}
-		s.addWitness(subject, accuser.node.ID, a.Round, from.node.ID)
+		s.addWitness(subject, accuser.node.ID, received.Round, from.node.ID)
 	}
 }
 
-func current(subject *member, a *gossipv1.Accusation) bool {
+func matchesRevision(subject *member, a *gossipv1.Accusation) bool {
 	return uint64(subject.node.Incarnation) == a.Incarnation && subject.revision == a.Revision
 }
 
-// refute raises the daemon's own revision, which voids the accusations.
+// refute raises the daemon's own revision, which invalidates the accusations.
 func (s *State) refute(self *member) {
 	self.revision++
 	s.publishSelf()
 	s.flush()
 }
 
-func (s *State) addWitness(subject *member, id structs.NodeID, round uint32, source structs.NodeID) {
+func (s *State) addWitness(subject *member, witnessID structs.NodeID, round uint32, sender structs.NodeID) {
 	a, accused := s.accusations[subject.node.ID]
 	if !accused {
-		a = &accusation{incarnation: subject.node.Incarnation, revision: subject.revision, confirmed: farFuture}
+		a = &accusation{incarnation: subject.node.Incarnation, revision: subject.revision, confirmedAt: farFuture}
 		s.accusations[subject.node.ID] = a
 	}
-	held := a.witness(id)
-	if held != nil && round <= held.round {
+	entry := a.witness(witnessID)
+	if entry != nil && round <= entry.round {
 		return
 	}
-	if held == nil {
-		a.witnesses = append(a.witnesses, witness{id: id})
-		held = a.witness(id)
+	if entry == nil {
+		a.witnesses = append(a.witnesses, witness{id: witnessID})
+		entry = a.witness(witnessID)
 	}
-	held.round, held.heard = round, s.now
-	if a.confirmed == farFuture && s.independent(subject, a.witnesses) {
-		a.confirmed = s.now
+	entry.round, entry.lastRenewed = round, s.now
+	if a.confirmedAt == farFuture && s.hasEnoughWitnesses(subject, a.witnesses) {
+		a.confirmedAt = s.now
 	}
-	s.report(subject, false)
-	s.spreadAccusation(subject, a, held, source)
+	s.reportNode(subject, false)
+	s.broadcastAccusation(subject, a, entry, sender)
 }
 
-// spreadAccusation tells the neighbours; a first-hand one also goes straight
-// to the subject and to the other watchers, who decide together.
-func (s *State) spreadAccusation(subject *member, a *accusation, by *witness, source structs.NodeID) {
+// broadcastAccusation sends an accusation to the neighbours. A first-hand accusation is
+// also sent directly to the subject and to its other watchers, which are the other
+// witnesses needed for a removal.
+func (s *State) broadcastAccusation(subject *member, a *accusation, reporter *witness, sender structs.NodeID) {
 	targets := slices.Clone(s.topology().neighbours)
-	if source == "" {
+	if sender == "" {
 		targets = append(targets, subject)
-		targets = append(targets, s.watchersOf(subject, s.byZone)...)
+		targets = append(targets, s.watchersOf(subject, s.membersByZone)...)
 	}
-	var told []structs.NodeID
+	var notified []structs.NodeID
 	for _, target := range targets {
 		id := target.node.ID
-		if id == source || id == s.options.Self.ID || slices.Contains(told, id) {
+		if id == sender || id == s.options.Self.ID || slices.Contains(notified, id) {
 			continue
 		}
-		told = append(told, id)
-		s.send(target.node, &gossipv1.Message{Accusations: []*gossipv1.Accusation{a.message(subject, by)}})
+		notified = append(notified, id)
+		s.send(target.node, &gossipv1.Message{Accusations: []*gossipv1.Accusation{a.proto(subject, reporter)}})
 	}
 }
 
-func (a *accusation) message(subject *member, by *witness) *gossipv1.Accusation {
+func (a *accusation) proto(subject *member, reporter *witness) *gossipv1.Accusation {
 	return &gossipv1.Accusation{
 		Subject:     string(subject.node.ID),
 		Incarnation: uint64(a.incarnation),
 		Revision:    a.revision,
-		Witness:     string(by.id),
-		Round:       by.round,
+		Witness:     string(reporter.id),
+		Round:       reporter.round,
 	}
 }
 
-// repeatAccusations tells each daemon that this one accuses so again, in case
-// it is reachable once more and can contradict, and now and then all others.
-func (s *State) repeatAccusations() {
+// resendAccusations resends this daemon's accusations to the accused daemons, which can
+// refute them if they are reachable again, and periodically renews them to all daemons.
+func (s *State) resendAccusations() {
 	for _, id := range sortedKeys(s.accusations) {
 		a, subject := s.accusations[id], s.members[id]
 		own := a.witness(s.options.Self.ID)
 		if own == nil {
 			continue
 		}
-		if s.now.Sub(own.heard) >= renewal {
+		if s.now.Sub(own.lastRenewed) >= renewalInterval {
 			s.addWitness(subject, own.id, own.round+1, "")
 			continue
 		}
-		s.send(subject.node, &gossipv1.Message{Accusations: []*gossipv1.Accusation{a.message(subject, own)}})
+		s.send(subject.node, &gossipv1.Message{Accusations: []*gossipv1.Accusation{a.proto(subject, own)}})
 	}
 }
 
-// expireWitnesses drops accusations that were not renewed.
+// expireWitnesses removes witnesses that did not renew their accusation.
 func (s *State) expireWitnesses(subject *member, a *accusation) {
-	a.witnesses = slices.DeleteFunc(a.witnesses, func(w witness) bool { return s.now.Sub(w.heard) > accusationLife })
-	if !s.independent(subject, a.witnesses) {
-		a.confirmed = farFuture
+	a.witnesses = slices.DeleteFunc(a.witnesses, func(w witness) bool { return s.now.Sub(w.lastRenewed) > witnessLifetime })
+	if !s.hasEnoughWitnesses(subject, a.witnesses) {
+		a.confirmedAt = farFuture
 	}
 	if len(a.witnesses) == 0 {
 		delete(s.accusations, subject.node.ID)
-		s.report(subject, false)
+		s.reportNode(subject, false)
 	}
 }
 
@@ -183,106 +185,108 @@
 	delete(s.accusations, m.node.ID)
 	if w, watched := s.watches[m.node.ID]; watched && w.accused {
 		w.accused = false
-		w.deadline = s.now.Add(s.timing.InitialTimeout)
+		w.heartbeatDeadline = s.now.Add(s.timing.InitialTimeout)
 	}
 }
 
-// independent reports whether the witnesses are enough to remove the subject:
-// two of its own zone, or two of different zones.
-func (s *State) independent(subject *member, witnesses []witness) bool {
+// hasEnoughWitnesses reports whether the witnesses suffice to remove the subject: two
+// of the subject's zone, or two of different zones.
+func (s *State) hasEnoughWitnesses(subject *member, witnesses []witness) bool {
 	zones := map[structs.ZoneName]bool{}
-	inZone := 0
-	for _, by := range witnesses {
-		accuser, known := s.members[by.id]
+	sameZone := 0
+	for _, w := range witnesses {
+		accuser, known := s.members[w.id]
 		if !known || accuser.node.State == structs.NodeDead {
 			continue
 		}
 		zones[accuser.node.Zone] = true
 		if accuser.node.Zone == subject.node.Zone {
-			inZone++
+			sameZone++
 		}
 	}
-	return inZone >= requiredWitnesses || len(zones) >= requiredWitnesses
+	return sameZone >= requiredWitnesses || len(zones) >= requiredWitnesses
 }
 
-// checkAccusations removes the daemons that this one accuses, that enough
-// others accuse and that did not contradict in time.
+// checkAccusations removes the daemons that this daemon and enough others accuse and
+// that did not refute in time.
 func (s *State) checkAccusations() {
 	for _, id := range sortedKeys(s.accusations) {
 		a := s.accusations[id]
 		subject := s.members[id]
 		s.expireWitnesses(subject, a)
-		if s.now.Before(a.confirmed.Add(s.timing.RefutationTimeout)) || a.witness(s.options.Self.ID) == nil {
+		if s.now.Before(a.confirmedAt.Add(s.timing.RefutationTimeout)) || a.witness(s.options.Self.ID) == nil {
 			continue
 		}
-		if s.holdRemoval(subject, a) {
-			a.confirmed = s.now
+		if s.mustDelayRemoval(subject, a) {
+			a.confirmedAt = s.now
 			continue
 		}
 		s.remove(subject, a)
 	}
 }
 
-// holdRemoval reports whether a removal has to wait for another refutation
-// time: while this daemon seems cut off, and once more when it no longer does,
-// so that the accused can hear of the accusation and contradict.
-func (s *State) holdRemoval(subject *member, a *accusation) bool {
+// mustDelayRemoval reports whether a removal must be delayed by another refutation
+// timeout: while this daemon seems disconnected, and once more when it is connected
+// again, so that the accused daemon can receive the accusation and refute it.
+func (s *State) mustDelayRemoval(subject *member, a *accusation) bool {
 	own := a.witness(s.options.Self.ID)
-	s.send(subject.node, &gossipv1.Message{Accusations: []*gossipv1.Accusation{a.message(subject, own)}})
-	if !s.connected(a) || !s.mayRemove(subject) {
+	s.send(subject.node, &gossipv1.Message{Accusations: []*gossipv1.Accusation{a.proto(subject, own)}})
+	if !s.isConnected(a) || !s.hasMajority(subject) {
 		a.isolated = true
-		a.probed = s.now
-		s.askElsewhere(subject)
+		a.probeStart = s.now
+		s.probeFromOtherZone(subject)
 		return true
 	}
-	held := a.isolated
+	wasIsolated := a.isolated
 	a.isolated = false
-	return held
+	return wasIsolated
 }
 
-// connected reports whether this daemon heard from another zone since it began
-// to probe the accused. A rack that is cut off within its zone does not, and so
-// removes none of the others.
-func (s *State) connected(a *accusation) bool {
-	return len(s.topology().zones) < 2 || s.heardElsewhere.After(a.probed)
+// isConnected reports whether this daemon received a message from another zone since it
+// began to probe the accused daemon. A rack that is disconnected within its zone
+// receives none, and so does not remove other daemons.
+func (s *State) isConnected(a *accusation) bool {
+	return len(s.topology().zones) < 2 || s.lastOtherZoneMessage.After(a.probeStart)
 }
 
-// mayRemove reports whether this daemon is on the side of a partition that may
-// remove others: one that holds a majority of all members, or of the zone.
-func (s *State) mayRemove(subject *member) bool {
-	all, reached := 0, 0
-	zone, zoneReached := 0, 0
+// hasMajority reports whether this daemon's side of a partition may remove others. It
+// must contain a majority of all members, or of the members of the subject's zone; the
+// latter counts only if it is also this daemon's zone and has more than watcherCount
+// members.
+func (s *State) hasMajority(subject *member) bool {
+	members, reachable := 0, 0
+	zoneMembers, zoneReachable := 0, 0
 	for _, m := range s.members {
 		if m.node.State == structs.NodeDead {
 			continue
 		}
-		all++
-		present := s.present(m).State != structs.NodeSuspect
-		if present {
-			reached++
+		members++
+		isReachable := s.observedNode(m).State != structs.NodeSuspect
+		if isReachable {
+			reachable++
 		}
 		if m.node.Zone != subject.node.Zone {
 			continue
 		}
-		zone++
-		if present {
-			zoneReached++
+		zoneMembers++
+		if isReachable {
+			zoneReachable++
 		}
 	}
-	zoneMajority := zone > watcherCount && zoneReached*2 > zone && s.options.Self.Zone == subject.node.Zone
-	return reached*2 > all || zoneMajority
+	zoneMajority := zoneMembers > watcherCount && zoneReachable*2 > zoneMembers && s.options.Self.Zone == subject.node.Zone
+	return reachable*2 > members || zoneMajority
 }
 
 func (s *State) remove(subject *member, a *accusation) {
-	witnesses := make([]string, 0, len(a.witnesses))
-	for _, by := range a.witnesses {
-		witnesses = append(witnesses, string(by.id))
+	witnessIDs := make([]string, 0, len(a.witnesses))
+	for _, w := range a.witnesses {
+		witnessIDs = append(witnessIDs, string(w.id))
 	}
-	s.learn(&gossipv1.Fact{
+	s.learnFact(&gossipv1.Fact{
 		Key:   nodeKey(subject.node.ID),
 		Major: uint64(a.incarnation),
 		Minor: math.MaxUint64,
-		Value: encodeNode(subject.node, witnesses),
+		Value: encodeNode(subject.node, witnessIDs),
 	}, "")
 	s.flush()
 }
--- a/internal/membership/bench_test.go
+++ b/internal/membership/benchmark_test.go
@@ -13,8 +13,9 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// fullSize is a daemon that knows 1,499 others in 17 zones.
-func fullSize() (*membership.State, []structs.Node, time.Time) {
+// newLargeState returns a daemon that knows 1,499 others in 17 zones, the nodes and the
+// current time.
+func newLargeState() (*membership.State, []structs.Node, time.Time) {
 	now := time.Unix(1000, 0)
 	var nodes []structs.Node
 	var facts []*gossipv1.Fact
@@ -38,9 +39,9 @@
 	return state, nodes, now.Add(time.Second)
 }
 
-// BenchmarkHeartbeat measures taking one heartbeat.
+// BenchmarkHeartbeat measures the processing of one heartbeat.
 func BenchmarkHeartbeat(b *testing.B) {
-	state, nodes, now := fullSize()
+	state, nodes, now := newLargeState()
 	number := uint64(0)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -50,17 +51,17 @@
 	}
 }
 
-// BenchmarkNewIncarnation measures learning of a daemon's restart, with the watch
-// graph derived anew.
+// BenchmarkNewIncarnation measures the processing of a daemon's restart, including the
+// derivation of a new topology.
 func BenchmarkNewIncarnation(b *testing.B) {
-	state, nodes, now := fullSize()
+	state, nodes, now := newLargeState()
 	node := nodes[17]
 	b.ReportAllocs()
 	for b.Loop() {
 		node.Incarnation++
 		fact := membership.InitialNodeFact(node)
-		left := &gossipv1.Fact{Key: fact.Key, Major: fact.Major, Minor: 1<<64 - 1, Value: leftValue(node)}
-		state.Receive(now, &gossipv1.Message{From: "x", Facts: []*gossipv1.Fact{left}})
+		removal := &gossipv1.Fact{Key: fact.Key, Major: fact.Major, Minor: 1<<64 - 1, Value: encodeVoluntaryRemoval(node)}
+		state.Receive(now, &gossipv1.Message{From: "x", Facts: []*gossipv1.Fact{removal}})
 		state.Tick(now)
 		node.Incarnation++
 		state.Receive(now, &gossipv1.Message{From: "x", Facts: []*gossipv1.Fact{membership.InitialNodeFact(node)}})
@@ -69,7 +70,7 @@
 	}
 }
 
-func leftValue(node structs.Node) []byte {
+func encodeVoluntaryRemoval(node structs.Node) []byte {
 	value, err := proto.Marshal(&gossipv1.NodeFact{Zone: string(node.Zone), Witnesses: []string{string(node.ID)}})
 	if err != nil {
 		return nil
--- a/internal/membership/document.go
+++ b/internal/membership/document.go
@@ -7,39 +7,42 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Document is one large versioned value that all daemons hold, such as the
-// configuration. Daemons bring each other up to date by deltas; a daemon too
-// far behind fetches the whole in chunks. Versions never go backwards.
+// Document is a large versioned value that all daemons hold, such as the configuration.
+// Daemons update each other by deltas; a daemon that is too far behind fetches a
+// snapshot in chunks. Versions never decrease.
 type Document interface {
-	// ActiveVersion is the version that the daemon acts on and vouches for; 0 is none.
+	// ActiveVersion returns the version that the daemon uses and confirms to others; 0
+	// means none.
 	ActiveVersion() uint64
-	// HeldVersion is the version that deltas can be applied to, vouched for or not.
+	// HeldVersion returns the version that deltas can be applied to, confirmed or not.
 	HeldVersion() uint64
-	// Confirm puts the held version in force if it is the given one: a peer
-	// vouches for it.
+	// Confirm activates the held version if it is the given one, which a peer has
+	// confirmed.
 	Confirm(version uint64)
-	// Deltas lead from the version after to the one in force; nil if the log
-	// does not reach back so far.
+	// Deltas returns the deltas from the given version to the active one; nil if the
+	// log does not reach back that far.
 	Deltas(after uint64) []*gossipv1.DocumentDelta
-	// Apply applies a delta whose base is the held version and reports whether
-	// a newer version is now in force.
+	// Apply applies a delta whose base is the held version and reports whether a newer
+	// version is now active.
 	Apply(delta *gossipv1.DocumentDelta) bool
-	// Snapshot returns a version and its encoding; deltas lead on from it.
+	// Snapshot returns a version and its encoding, to which later deltas can be
+	// applied.
 	Snapshot() (version uint64, data []byte)
-	// ApplySnapshot replaces the held version by a newer one and reports whether
-	// a newer version is now in force.
+	// ApplySnapshot replaces the held version by a newer one and reports whether a
+	// newer version is now active.
 	ApplySnapshot(version uint64, data []byte) bool
 }
 
 const (
-	// documentChunkBytes bounds a chunk of a whole document.
+	// documentChunkBytes is the maximum size of a chunk of a snapshot.
 	documentChunkBytes = 64 << 10
-	// documentRequestTimeout is when an unanswered request is given up.
+	// documentRequestTimeout is the timeout of a request for the document.
 	documentRequestTimeout = time.Second
 )
 
-// pushedDeltaBytes is the size up to which deltas are pushed unasked.
-const pushedDeltaBytes = 1 << 10
+// maxPushedDeltaBytes is the size up to which deltas are sent to neighbours without a
+// request.
+const maxPushedDeltaBytes = 1 << 10
 
 func deltaBytes(deltas []*gossipv1.DocumentDelta) int {
 	total := 0
@@ -49,21 +52,21 @@
 	return total
 }
 
-// documentFetch is the request that the daemon waits for.
+// documentFetch is a pending request for the document.
 type documentFetch struct {
-	asked   time.Time
-	from    structs.NodeID
-	version uint64
-	data    []byte
+	requestedAt time.Time
+	from        structs.NodeID
+	version     uint64
+	data        []byte
 }
 
-// receiveDocument handles the document's parts of a message.
+// receiveDocument processes the document fields of a message.
 func (s *State) receiveDocument(from *member, m *gossipv1.Message) {
 	document := s.options.Document
 	if document == nil {
 		return
 	}
-	before := document.ActiveVersion()
+	previousVersion := document.ActiveVersion()
 	for _, delta := range m.Deltas {
 		s.applyDelta(delta)
 	}
@@ -76,8 +79,8 @@
 	if m.DocumentVersion > 0 && m.DocumentVersion == document.HeldVersion() {
 		document.Confirm(m.DocumentVersion)
 	}
-	if document.ActiveVersion() > before {
-		s.documentChanged(before, from.node.ID)
+	if document.ActiveVersion() > previousVersion {
+		s.documentChanged(previousVersion, from.node.ID)
 	}
 	if m.DocumentVersion > document.HeldVersion() {
 		s.requestDocument(from)
@@ -90,17 +93,17 @@
 		return
 	}
 	if document.Apply(delta) {
-		s.fetch = nil
+		s.documentFetch = nil
 	}
 }
 
-// requestDocument asks a peer that is ahead for what is missing, one request
-// at a time.
+// requestDocument requests the missing versions from a peer that has a newer one. Only
+// one request is pending at a time.
 func (s *State) requestDocument(from *member) {
-	if s.fetch != nil && s.now.Sub(s.fetch.asked) < documentRequestTimeout {
+	if s.documentFetch != nil && s.now.Sub(s.documentFetch.requestedAt) < documentRequestTimeout {
 		return
 	}
-	s.fetch = &documentFetch{asked: s.now, from: from.node.ID}
+	s.documentFetch = &documentFetch{requestedAt: s.now, from: from.node.ID}
 	request := &gossipv1.DocumentRequest{After: s.options.Document.HeldVersion()}
 	s.send(from.node, &gossipv1.Message{DocumentRequest: request})
 }
@@ -110,21 +113,21 @@
 	if document.ActiveVersion() == 0 {
 		return
 	}
-	answer := &gossipv1.Message{DocumentVersion: document.ActiveVersion()}
+	reply := &gossipv1.Message{DocumentVersion: document.ActiveVersion()}
 	if !request.Whole && request.After < document.ActiveVersion() {
-		answer.Deltas = document.Deltas(request.After)
+		reply.Deltas = document.Deltas(request.After)
 	}
-	if len(answer.Deltas) == 0 && request.After < document.ActiveVersion() {
-		answer.DocumentChunk = s.chunk(request)
+	if len(reply.Deltas) == 0 && request.After < document.ActiveVersion() {
+		reply.DocumentChunk = s.snapshotChunk(request)
 	}
-	if len(answer.Deltas) > 0 || answer.DocumentChunk != nil {
-		s.send(from.node, answer)
+	if len(reply.Deltas) > 0 || reply.DocumentChunk != nil {
+		s.send(from.node, reply)
 	}
 }
 
-// chunk cuts the wanted piece. Where the wanted version is gone it starts the
-// present one from its beginning.
-func (s *State) chunk(request *gossipv1.DocumentRequest) *gossipv1.DocumentChunk {
+// snapshotChunk returns the requested chunk. If the requested version is no longer
+// available, it returns the first chunk of the current one.
+func (s *State) snapshotChunk(request *gossipv1.DocumentRequest) *gossipv1.DocumentChunk {
 	version, data := s.options.Document.Snapshot()
 	offset := request.Offset
 	if request.Version != version || offset >= uint64(len(data)) {
@@ -135,45 +138,46 @@
 }
 
 func (s *State) receiveChunk(from *member, chunk *gossipv1.DocumentChunk) {
-	if s.fetch == nil || s.fetch.from != from.node.ID || chunk.Version <= s.options.Document.HeldVersion() {
+	if s.documentFetch == nil || s.documentFetch.from != from.node.ID || chunk.Version <= s.options.Document.HeldVersion() {
 		return
 	}
 	if chunk.Offset == 0 {
-		s.fetch.version, s.fetch.data = chunk.Version, nil
+		s.documentFetch.version, s.documentFetch.data = chunk.Version, nil
 	}
-	if chunk.Version != s.fetch.version || chunk.Offset != uint64(len(s.fetch.data)) {
+	if chunk.Version != s.documentFetch.version || chunk.Offset != uint64(len(s.documentFetch.data)) {
 		return
 	}
-	s.fetch.data = append(s.fetch.data, chunk.Data...)
-	s.fetch.asked = s.now
-	if uint64(len(s.fetch.data)) < chunk.Size {
-		next := &gossipv1.DocumentRequest{Whole: true, Version: chunk.Version, Offset: uint64(len(s.fetch.data))}
+	s.documentFetch.data = append(s.documentFetch.data, chunk.Data...)
+	s.documentFetch.requestedAt = s.now
+	if uint64(len(s.documentFetch.data)) < chunk.Size {
+		next := &gossipv1.DocumentRequest{Whole: true, Version: chunk.Version, Offset: uint64(len(s.documentFetch.data))}
 		s.send(from.node, &gossipv1.Message{DocumentRequest: next})
 		return
 	}
-	data := s.fetch.data
-	s.fetch = nil
+	data := s.documentFetch.data
+	s.documentFetch = nil
 	s.options.Document.ApplySnapshot(chunk.Version, data)
 }
 
-// DocumentChanged tells that the document advanced by the daemon's own reading
-// from the version before.
-func (s *State) DocumentChanged(now time.Time, before uint64) {
+// DocumentChanged reports that the daemon itself advanced the document from
+// previousVersion, without a message from a peer.
+func (s *State) DocumentChanged(now time.Time, previousVersion uint64) {
 	s.now = now
-	s.documentChanged(before, "")
+	s.documentChanged(previousVersion, "")
 }
 
-// documentChanged pushes the deltas since the version before to the neighbours,
-// except to the one that they came from.
-func (s *State) documentChanged(before uint64, source structs.NodeID) {
+// documentChanged sends the deltas since previousVersion to the neighbours, except to
+// the one that they came from.
+func (s *State) documentChanged(previousVersion uint64, sender structs.NodeID) {
 	s.emit(Event{Kind: DocumentActivated, Version: s.options.Document.ActiveVersion()})
-	deltas := s.options.Document.Deltas(before)
-	if deltaBytes(deltas) > pushedDeltaBytes {
-		// Each neighbour asks one daemon for it, instead of getting it from all.
+	deltas := s.options.Document.Deltas(previousVersion)
+	if deltaBytes(deltas) > maxPushedDeltaBytes {
+		// Each neighbour then requests large deltas from one daemon instead of
+		// receiving them from all.
 		deltas = nil
 	}
 	for _, neighbour := range s.topology().neighbours {
-		if neighbour.node.ID == source {
+		if neighbour.node.ID == sender {
 			continue
 		}
 		s.send(neighbour.node, &gossipv1.Message{Deltas: deltas, DocumentVersion: s.options.Document.ActiveVersion()})
--- a/internal/membership/fact.go
+++ b/internal/membership/fact.go
@@ -6,11 +6,11 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/gossipv1"
 )
 
-// bucketCount is the number of buckets that anti-entropy compares. With
-// 15,000 facts a bucket lists about 60.
+// bucketCount is the number of buckets that anti-entropy compares. With 15,000 facts,
+// the listing of a bucket has about 60 entries.
 const bucketCount = 256
 
-// version orders the facts under one key.
+// version orders the facts of one key.
 type version struct{ major, minor uint64 }
 
 // newerThan reports whether v replaces other.
@@ -21,23 +21,23 @@
 	return v.minor > other.minor
 }
 
-// fact is a versioned value under a key.
+// fact is a versioned value of a key.
 type fact struct {
 	key   string
 	hash  uint64
 	value []byte
 	version
-	// retired facts are tombstones: they are listed to peers that disagree but
-	// are left out of the digests, so that each daemon may forget them alone.
-	retired bool
+	// tombstone marks the fact of a removed daemon. Tombstones are included in listings
+	// but not in digests, so that each daemon can delete them independently.
+	tombstone bool
 }
 
 func (f *fact) bucket() int { return int(f.hash >> 56) }
 
-// digest mixes key and version, so that the exclusive or over a set of facts
-// tells two sets apart.
+// digest returns a hash of key and version. The exclusive or of the digests identifies
+// a set of facts.
 func (f *fact) digest() uint64 {
-	if f.retired {
+	if f.tombstone {
 		return 0
 	}
 	mixed := f.hash ^ f.major*0x9e3779b97f4a7c15 ^ f.minor*0xc2b2ae3d27d4eb4f
@@ -46,11 +46,11 @@
 	return mixed ^ mixed>>29
 }
 
-func (f *fact) message() *gossipv1.Fact {
+func (f *fact) proto() *gossipv1.Fact {
 	return &gossipv1.Fact{Key: f.key, Major: f.major, Minor: f.minor, Value: f.value}
 }
 
-// factStore holds the newest fact under each key and the digests over them.
+// factStore holds the newest fact of each key, and digests of the facts in each bucket.
 type factStore struct {
 	buckets [bucketCount]map[uint64]*fact
 	digests [bucketCount]uint64
@@ -63,17 +63,17 @@
 
 func (s *factStore) byHash(hash uint64) *fact { return s.buckets[hash>>56][hash] }
 
-// put stores the fact if it is newer than the one held and reports whether it was.
+// put stores the fact if it is newer than the stored one and reports whether it was.
 func (s *factStore) put(f *fact) bool {
 	bucket := f.bucket()
-	held := s.buckets[bucket][f.hash]
-	if held != nil && !f.newerThan(held.version) {
+	stored := s.buckets[bucket][f.hash]
+	if stored != nil && !f.newerThan(stored.version) {
 		return false
 	}
-	if held == nil {
+	if stored == nil {
 		s.count++
 	} else {
-		s.digests[bucket] ^= held.digest()
+		s.digests[bucket] ^= stored.digest()
 	}
 	if s.buckets[bucket] == nil {
 		s.buckets[bucket] = map[uint64]*fact{}
@@ -83,25 +83,26 @@
 	return true
 }
 
-// forget drops a retired fact.
-func (s *factStore) forget(f *fact) {
-	if f.retired && s.buckets[f.bucket()][f.hash] == f {
+// removeTombstone removes a tombstone.
+func (s *factStore) removeTombstone(f *fact) {
+	if f.tombstone && s.buckets[f.bucket()][f.hash] == f {
 		delete(s.buckets[f.bucket()], f.hash)
 		s.count--
 	}
 }
 
-// root is the digest over all facts. It is never 0 unless there are none.
-func (s *factStore) root() uint64 {
-	var root uint64
+// rootDigest returns the digest of all facts. It is 0 only if there are none.
+func (s *factStore) rootDigest() uint64 {
+	var combined uint64
 	for _, digest := range s.digests {
-		root ^= digest
+		combined ^= digest
 	}
-	return root
+	return combined
 }
 
-// folded returns the digest of each bucket, folded to 32 bits for the wire.
-func (s *factStore) folded() []uint32 {
+// bucketDigests returns the digest of each bucket, folded to 32 bits for the wire
+// format.
+func (s *factStore) bucketDigests() []uint32 {
 	folded := make([]uint32, bucketCount)
 	for i, digest := range s.digests {
 		folded[i] = uint32(digest ^ digest>>32)
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -10,20 +10,21 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// pendingFact is a fact that the neighbours are still to be told.
+// pendingFact is a fact that has not been sent to the neighbours yet.
 type pendingFact struct {
 	fact *fact
-	// source is the neighbour that it came from.
+	// source is the neighbour that sent the fact.
 	source structs.NodeID
 }
 
-// Publish spreads an item. An item that is not newer than the one held is dropped.
+// Publish distributes an item. An item that is not newer than the stored one is
+// ignored.
 func (s *State) Publish(now time.Time, item Item) {
 	s.now = now
-	s.learn(ItemFact(item), "")
+	s.learnFact(ItemFact(item), "")
 }
 
-// ItemFact is the fact that carries an item.
+// ItemFact returns the fact that carries an item.
 func ItemFact(item Item) *gossipv1.Fact {
 	return &gossipv1.Fact{
 		Key:   itemPrefix + item.Key,
@@ -33,22 +34,22 @@
 	}
 }
 
-// Item returns the newest item held under the key.
+// Item returns the newest known item with the key.
 func (s *State) Item(key string) (Item, bool) {
-	held := s.facts.get(itemPrefix + key)
-	if held == nil {
+	stored := s.facts.get(itemPrefix + key)
+	if stored == nil {
 		return Item{}, false
 	}
-	return Item{Key: key, Version: held.major, Value: held.value}, true
+	return Item{Key: key, Version: stored.major, Value: stored.value}, true
 }
 
-// Items returns all items whose key has the prefix, in no order.
+// Items returns all items whose key has the prefix, in no particular order.
 func (s *State) Items(prefix string) []Item {
 	var items []Item
 	for _, bucket := range s.facts.buckets {
-		for _, held := range bucket {
-			if key, isItem := strings.CutPrefix(held.key, itemPrefix); isItem && strings.HasPrefix(key, prefix) {
-				items = append(items, Item{Key: key, Version: held.major, Value: held.value})
+		for _, stored := range bucket {
+			if key, isItem := strings.CutPrefix(stored.key, itemPrefix); isItem && strings.HasPrefix(key, prefix) {
+				items = append(items, Item{Key: key, Version: stored.major, Value: stored.value})
 			}
 		}
 	}
@@ -57,27 +58,28 @@
 
 func (s *State) receiveFacts(m *gossipv1.Message) {
 	for _, f := range m.Facts {
-		s.learn(f, structs.NodeID(m.From))
+		s.learnFact(f, structs.NodeID(m.From))
 	}
 }
 
-// learn stores a newer fact, reports it and queues it for the neighbours.
-func (s *State) learn(message *gossipv1.Fact, source structs.NodeID) bool {
+// learnFact stores a fact if it is newer than the stored one, applies it and queues it
+// for the neighbours.
+func (s *State) learnFact(message *gossipv1.Fact, source structs.NodeID) bool {
 	f := &fact{
 		key:     message.Key,
 		hash:    keyHash(message.Key),
 		value:   message.Value,
 		version: version{message.Major, message.Minor},
 	}
-	if held := s.facts.byHash(f.hash); held != nil && !f.newerThan(held.version) {
+	if stored := s.facts.byHash(f.hash); stored != nil && !f.newerThan(stored.version) {
 		return false
 	}
-	if !s.accept(f) || !s.facts.put(f) {
+	if !s.acceptFact(f) || !s.facts.put(f) {
 		return false
 	}
 	s.lastChanged = s.now
 	if !s.joined {
-		// What a joining daemon is told, the others know.
+		// The facts that a joining daemon receives are already known to the others.
 		return true
 	}
 	if len(s.pending) == 0 {
@@ -87,13 +89,13 @@
 	return true
 }
 
-// accept takes over what the fact says and reports whether it may be stored.
-func (s *State) accept(f *fact) bool {
+// acceptFact applies a fact and reports whether it may be stored.
+func (s *State) acceptFact(f *fact) bool {
 	switch {
 	case strings.HasPrefix(f.key, nodePrefix):
-		return s.acceptNode(f)
+		return s.acceptNodeFact(f)
 	case strings.HasPrefix(f.key, linkPrefix):
-		return s.acceptLink(f)
+		return s.acceptLinkFact(f)
 	case strings.HasPrefix(f.key, itemPrefix):
 		item := Item{Key: f.key[len(itemPrefix):], Version: f.major, Value: f.value}
 		s.emit(Event{Kind: ItemChanged, Item: item})
@@ -102,33 +104,33 @@
 	return false
 }
 
-// messageFacts bounds the bytes of facts in one message.
-const messageFacts = 64 << 10
+// maxFactBytesPerMessage limits the size of the facts in one message.
+const maxFactBytesPerMessage = 64 << 10
 
-// flush sends the pending facts to the neighbours, to each without those that
-// came from it.
+// flush sends the pending facts to each neighbour, except those that the neighbour
+// sent.
 func (s *State) flush() {
 	pending := s.pending
 	s.pending = nil
 	for _, neighbour := range s.topology().neighbours {
 		var facts []*gossipv1.Fact
 		for _, p := range pending {
-			if p.source != neighbour.node.ID && !p.superseded(s) {
-				facts = append(facts, p.fact.message())
+			if p.source != neighbour.node.ID && !p.isSuperseded(s) {
+				facts = append(facts, p.fact.proto())
 			}
 		}
 		s.sendFacts(neighbour.node, facts)
 	}
 }
 
-func (p pendingFact) superseded(s *State) bool { return s.facts.byHash(p.fact.hash) != p.fact }
+func (p pendingFact) isSuperseded(s *State) bool { return s.facts.byHash(p.fact.hash) != p.fact }
 
-// sendFacts sends facts in messages of a bounded size.
+// sendFacts sends facts in messages of limited size.
 func (s *State) sendFacts(to structs.Node, facts []*gossipv1.Fact) {
 	size, start := 0, 0
 	for i, f := range facts {
 		size += len(f.Key) + len(f.Value)
-		if size > messageFacts || i == len(facts)-1 {
+		if size > maxFactBytesPerMessage || i == len(facts)-1 {
 			s.send(to, &gossipv1.Message{Facts: facts[start : i+1]})
 			size, start = 0, i+1
 		}
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -8,40 +8,41 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// reunionPeriod is how often a daemon that misses others looks for them.
-const reunionPeriod = 10 * time.Second
+// reconnectInterval is the interval at which a daemon contacts daemons that were
+// removed or are missing.
+const reconnectInterval = 10 * time.Second
 
-// join asks a seed for all facts. The daemon introduces itself only when it
-// holds them, so that it knows its watchers before they expect its heartbeats.
+// join requests all facts from a seed. The daemon announces itself only after it has
+// received them, so that it knows its watchers before they expect its heartbeats.
 func (s *State) join() {
 	s.nextJoin = s.now.Add(s.timing.JoinInterval)
 	seeds := s.otherSeeds()
 	if len(seeds) == 0 {
-		s.introduce()
+		s.announce()
 		return
 	}
 	s.joinAttempts++
-	s.askAll(seeds[s.options.Random.IntN(len(seeds))], false)
+	s.requestAllFacts(seeds[s.options.Random.IntN(len(seeds))], false)
 }
 
-func (s *State) askAll(address string, referred bool) {
+func (s *State) requestAllFacts(address string, referred bool) {
 	s.send(structs.Node{PeerAddress: address}, &gossipv1.Message{
 		Address: s.options.Self.PeerAddress,
 		Sync:    &gossipv1.Sync{All: true, Referred: referred},
 	})
 }
 
-// referFrom is the number of members from which on a seed refers joining
-// daemons to others, so that the few seeds don't carry every join.
-const referFrom = 32
+// minMembersForReferral is the cluster size at which a seed begins to refer joining
+// daemons to other members, so that the few seeds do not have to serve every join.
+const minMembersForReferral = 32
 
-// refer returns a member that can answer a joining daemon as well.
-func (s *State) refer(joining string) *member {
-	if len(s.members) < referFrom {
+// pickReferral returns a member that can answer a joining daemon instead of this one.
+func (s *State) pickReferral(joiningAddress string) *member {
+	if len(s.members) < minMembersForReferral {
 		return nil
 	}
 	return s.randomMember(func(m *member) bool {
-		return s.present(m).State == structs.NodeAlive && m.node.PeerAddress != joining && m.node.ID != s.options.Self.ID
+		return s.observedNode(m).State == structs.NodeAlive && m.node.PeerAddress != joiningAddress && m.node.ID != s.options.Self.ID
 	})
 }
 
@@ -55,30 +56,32 @@
 	return seeds
 }
 
-// ownJoinAttempts is how often a daemon asks before it answers others though it
-// has not joined itself: then the cluster is most likely starting as a whole.
-const ownJoinAttempts = 2
+// minJoinAttempts is the number of join requests after which a daemon answers joining
+// daemons although it has not joined itself: then the whole cluster is probably
+// starting.
+const minJoinAttempts = 2
 
-// receiveJoin answers a joining daemon, which is not yet known, with all facts
-// but the one about itself.
+// receiveJoin answers a joining daemon, which is not known yet, with all facts except
+// the one about the joining daemon itself. It reports whether the message was a join
+// request.
 func (s *State) receiveJoin(m *gossipv1.Message) bool {
 	if m.Sync == nil || !m.Sync.All || m.Address == "" {
 		return false
 	}
-	if !s.joined && s.joinAttempts < ownJoinAttempts {
+	if !s.joined && s.joinAttempts < minJoinAttempts {
 		return true
 	}
 	to := structs.Node{PeerAddress: m.Address}
-	if other := s.refer(m.Address); other != nil && !m.Sync.Referred {
-		s.send(to, &gossipv1.Message{Sync: &gossipv1.Sync{Refer: other.node.PeerAddress}})
+	if referral := s.pickReferral(m.Address); referral != nil && !m.Sync.Referred {
+		s.send(to, &gossipv1.Message{Sync: &gossipv1.Sync{Refer: referral.node.PeerAddress}})
 		return true
 	}
-	itself := nodeKey(structs.NodeID(m.From))
+	joiningKey := nodeKey(structs.NodeID(m.From))
 	var facts []*gossipv1.Fact
 	for bucket := range bucketCount {
 		for _, hash := range sortedKeys(s.facts.buckets[bucket]) {
-			if held := s.facts.buckets[bucket][hash]; !held.retired && held.key != itself {
-				facts = append(facts, held.message())
+			if stored := s.facts.buckets[bucket][hash]; !stored.tombstone && stored.key != joiningKey {
+				facts = append(facts, stored.proto())
 			}
 		}
 	}
@@ -90,28 +93,28 @@
 	return true
 }
 
-// completeJoin ends the join if the seed's whole answer has come. A part that
-// was lost makes the daemon ask again.
+// completeJoin completes the join once the seed's whole reply has arrived. If a part of
+// it was lost, the daemon sends another request later.
 func (s *State) completeJoin(m *gossipv1.Message) {
 	if s.joined {
 		return
 	}
 	if m.Sync != nil && m.Sync.Refer != "" {
-		s.askAll(m.Sync.Refer, true)
+		s.requestAllFacts(m.Sync.Refer, true)
 	}
 	if m.Sync != nil && m.Sync.Total > 0 {
 		s.joinTotal = int(m.Sync.Total)
 	}
-	if others := s.facts.count - 1; s.joinTotal > 0 && others >= s.joinTotal {
-		s.introduce()
+	if received := s.facts.count - 1; s.joinTotal > 0 && received >= s.joinTotal {
+		s.announce()
 	}
 }
 
-// introduce tells the daemon's place in the cluster to its neighbours.
-func (s *State) introduce() {
+// announce announces the daemon to its neighbours.
+func (s *State) announce() {
 	s.joined = true
-	s.introduced = s.now
-	s.derived = nil
+	s.announcedAt = s.now
+	s.cachedTopology = nil
 	s.watches = map[structs.NodeID]*watch{}
 	s.links = map[structs.NodeID]*link{}
 	s.nextHeartbeat = s.now
@@ -119,42 +122,44 @@
 	s.flush()
 }
 
-// introductionSpan is how long a daemon's heartbeats carry its address after it
-// introduced itself, for those whom the introduction did not reach.
-const introductionSpan = 20 * time.Second
+// announcementPeriod is how long a daemon's heartbeats carry its address after it
+// announced itself, for neighbours that the announcement did not reach.
+const announcementPeriod = 20 * time.Second
 
-// askStranger greets the sender of a heartbeat whose introduction was lost.
-func (s *State) askStranger(m *gossipv1.Message) {
+// greetUnknownSender introduces this daemon to the sender of a heartbeat whose
+// announcement was lost.
+func (s *State) greetUnknownSender(m *gossipv1.Message) {
 	if s.joined && m.Heartbeat > 0 && m.Address != "" {
-		s.greet(structs.Node{PeerAddress: m.Address})
+		s.introduceTo(structs.Node{PeerAddress: m.Address})
 	}
 }
 
-// reunite greets a daemon that was removed and that this one would watch, so
-// that parts that lost each other find together again. A handful greet each, and
-// none that left by itself.
-func (s *State) reunite() {
-	s.nextReunion = s.now.Add(reunionPeriod)
+// reconnect introduces this daemon to a removed daemon that it would watch, so that
+// separated parts of the cluster merge again. Only the few watchers of a removed daemon
+// contact it, and none contacts a daemon that left voluntarily. A daemon that knows no
+// more members than there are seeds contacts a seed.
+func (s *State) reconnect() {
+	s.nextReconnect = s.now.Add(reconnectInterval)
 	self := s.members[s.options.Self.ID]
-	missing := s.randomMember(func(m *member) bool {
-		return m != self && m.node.State == structs.NodeDead && !m.left && slices.Contains(s.watchersOf(m, s.byZone), self)
+	removed := s.randomMember(func(m *member) bool {
+		return m != self && m.node.State == structs.NodeDead && !m.leftVoluntarily && slices.Contains(s.watchersOf(m, s.membersByZone), self)
 	})
-	if missing != nil {
-		s.greet(missing.node)
+	if removed != nil {
+		s.introduceTo(removed.node)
 		return
 	}
 	if seeds := s.otherSeeds(); len(seeds) > 0 && len(s.members) <= len(seeds) {
-		s.greet(structs.Node{PeerAddress: seeds[s.options.Random.IntN(len(seeds))]})
+		s.introduceTo(structs.Node{PeerAddress: seeds[s.options.Random.IntN(len(seeds))]})
 	}
 }
 
-// greet introduces the daemon to a peer that may not know it and starts a
+// introduceTo introduces the daemon to a peer that may not know it and starts a
 // comparison of facts.
-func (s *State) greet(to structs.Node) {
+func (s *State) introduceTo(to structs.Node) {
 	s.send(to, &gossipv1.Message{
 		Address:         s.options.Self.PeerAddress,
-		Facts:           []*gossipv1.Fact{s.facts.get(nodeKey(s.options.Self.ID)).message()},
-		Sync:            &gossipv1.Sync{Buckets: s.facts.folded()},
+		Facts:           []*gossipv1.Fact{s.facts.get(nodeKey(s.options.Self.ID)).proto()},
+		Sync:            &gossipv1.Sync{Buckets: s.facts.bucketDigests()},
 		DocumentVersion: s.documentVersion(),
 	})
 }
--- a/internal/membership/links.go
+++ b/internal/membership/links.go
@@ -9,74 +9,76 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// endsKey names the ends that a zone holds of the links with another.
-type endsKey struct {
+// endpointsKey identifies the endpoints in a zone of its links with another zone.
+type endpointsKey struct {
 	pair zonePair
 	zone structs.ZoneName
 }
 
-func (s *State) forgetEnds(zone structs.ZoneName) {
-	s.derived = nil
-	for key := range s.ends {
+func (s *State) invalidateEndpoints(zone structs.ZoneName) {
+	s.cachedTopology = nil
+	for key := range s.endpoints {
 		if key.zone == zone {
-			delete(s.ends, key)
+			delete(s.endpoints, key)
 		}
 	}
 }
 
-// endsOf returns the members of a zone that hold its ends of the pair's links.
-func (s *State) endsOf(zone structs.ZoneName, pair zonePair) []*member {
-	key := endsKey{pair, zone}
-	ends, known := s.ends[key]
-	if !known {
-		ends = representatives(s.byZone[zone], pair)
-		s.ends[key] = ends
+// endpointsOf returns the members of a zone that are endpoints of the pair's links.
+func (s *State) endpointsOf(zone structs.ZoneName, pair zonePair) []*member {
+	key := endpointsKey{pair, zone}
+	endpoints, cached := s.endpoints[key]
+	if !cached {
+		endpoints = selectEndpoints(s.membersByZone[zone], pair)
+		s.endpoints[key] = endpoints
 	}
-	return ends
+	return endpoints
 }
 
-// deriveLinks finds each two neighbouring zones and the daemons that link them.
+// deriveLinks determines the pairs of neighbouring zones and the daemons that link
+// them.
 func (s *State) deriveLinks(t *topology) {
 	self := s.members[s.options.Self.ID]
 	for _, pair := range zonePairs(t.zones) {
-		ends := s.endsOf(pair.from, pair)
-		others := s.endsOf(pair.to, pair)
-		t.pairs[pair] = others
-		t.pairs[zonePair{pair.to, pair.from}] = ends
-		for i := 0; i < max(len(ends), len(others)); i++ {
-			here, there := ends[i%len(ends)], others[i%len(others)]
-			t.addLink(self, here, there)
-			t.addLink(self, there, here)
+		endpoints := s.endpointsOf(pair.from, pair)
+		otherEndpoints := s.endpointsOf(pair.to, pair)
+		t.pairs[pair] = otherEndpoints
+		t.pairs[zonePair{pair.to, pair.from}] = endpoints
+		for i := 0; i < max(len(endpoints), len(otherEndpoints)); i++ {
+			local, remote := endpoints[i%len(endpoints)], otherEndpoints[i%len(otherEndpoints)]
+			t.addLink(self, local, remote)
+			t.addLink(self, remote, local)
 		}
 	}
 }
 
-// deriveDetours links this zone directly with each zone that no path of links
-// leads from: what cut the links may have left the zones themselves connected.
-func (s *State) deriveDetours(t *topology) {
+// deriveFallbackLinks links this zone directly with each zone from which no path of
+// regular links leads here: the failure that interrupted the links may have left the
+// two zones connected.
+func (s *State) deriveFallbackLinks(t *topology) {
 	self := s.members[s.options.Self.ID]
-	own := s.options.Self.Zone
+	ownZone := s.options.Self.Zone
 	for _, zone := range t.zones {
-		if _, linked := t.pairs[zonePair{zone, own}]; linked || zone == own || !s.pathless[zone] {
+		if _, linked := t.pairs[zonePair{zone, ownZone}]; linked || zone == ownZone || !s.noRegularPath[zone] {
 			continue
 		}
-		t.detours[zone] = true
-		pair := zonePair{min(own, zone), max(own, zone)}
-		ends, others := s.endsOf(own, pair), s.endsOf(zone, pair)
-		for i := 0; i < max(len(ends), len(others)); i++ {
-			t.addLink(self, ends[i%len(ends)], others[i%len(others)])
+		t.fallbackZones[zone] = true
+		pair := zonePair{min(ownZone, zone), max(ownZone, zone)}
+		endpoints, otherEndpoints := s.endpointsOf(ownZone, pair), s.endpointsOf(zone, pair)
+		for i := 0; i < max(len(endpoints), len(otherEndpoints)); i++ {
+			t.addLink(self, endpoints[i%len(endpoints)], otherEndpoints[i%len(otherEndpoints)])
 		}
 	}
 }
 
-func (t *topology) addLink(self, end, other *member) {
-	if end == self && !slices.Contains(t.links, other) {
+func (t *topology) addLink(self, endpoint, other *member) {
+	if endpoint == self && !slices.Contains(t.links, other) {
 		t.links = append(t.links, other)
 	}
 }
 
-// zonePairs returns each two zones that follow each other on one of the rings,
-// once, in a fixed order.
+// zonePairs returns the pairs of zones that are adjacent on one of the rings, without
+// duplicates and in a fixed order.
 func zonePairs(zones []structs.ZoneName) []zonePair {
 	var pairs []zonePair
 	for ring := 0; ring < zoneRingCount; ring++ {
@@ -95,26 +97,26 @@
 	return pairs
 }
 
-// representatives returns the members of a zone that hold its ends of the
-// links: the first by rendezvous hash.
-func representatives(zone []*member, pair zonePair) []*member {
+// selectEndpoints returns the members of a zone that are endpoints of the pair's links:
+// the first ones by rendezvous hash.
+func selectEndpoints(zone []*member, pair zonePair) []*member {
 	salt := xxhash.Sum64String(string(pair.from) + "\x00" + string(pair.to))
-	var first []*member
+	var selected []*member
 	for _, m := range zone {
-		at := len(first)
-		for at > 0 && rendezvousBefore(m, first[at-1], salt) {
-			at--
+		position := len(selected)
+		for position > 0 && rendezvousBefore(m, selected[position-1], salt) {
+			position--
 		}
-		if at < linksPerZonePair {
-			first = slices.Insert(first, at, m)
-			first = first[:min(linksPerZonePair, len(first))]
+		if position < linksPerZonePair {
+			selected = slices.Insert(selected, position, m)
+			selected = selected[:min(linksPerZonePair, len(selected))]
 		}
 	}
-	return first
+	return selected
 }
 
-func rendezvousBefore(a, b *member, salt uint64) bool { return rendezvousOrder(a, b, salt) < 0 }
+func rendezvousBefore(a, b *member, salt uint64) bool { return compareRendezvous(a, b, salt) < 0 }
 
-func rendezvousOrder(a, b *member, salt uint64) int {
-	return cmp.Or(cmp.Compare(mix(a.ring[0]^salt), mix(b.ring[0]^salt)), byID(a, b))
+func compareRendezvous(a, b *member, salt uint64) int {
+	return cmp.Or(cmp.Compare(mixHash(a.ringPositions[0]^salt), mixHash(b.ringPositions[0]^salt)), byID(a, b))
 }
--- a/internal/membership/node.go
+++ b/internal/membership/node.go
@@ -11,48 +11,50 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Keys of facts: node facts, link reports and published items have a prefix each.
+// Prefixes of fact keys for node facts, link reports and published items.
 const (
 	nodePrefix = "n/"
 	linkPrefix = "l/"
 	itemPrefix = "i/"
 )
 
-// A node fact's minor version holds the revision and, below it, the rank of the
-// state. That of a removal is the greatest: only a new life replaces it.
+// The minor version of a node fact consists of the revision and, in the lowest bit, the
+// state. A removal has the greatest minor version, so that only a newer incarnation
+// replaces it.
 const (
-	rankBits     = 1
-	rankAlive    = 0
-	rankLeaving  = 1
-	minorRemoved = math.MaxUint64
+	stateBits    = 1
+	stateAlive   = 0
+	stateLeaving = 1
+	removedMinor = math.MaxUint64
 )
 
-// requiredWitnesses is the number of daemons that must bear witness to a death.
+// requiredWitnesses is the number of daemons that must accuse a daemon before it is
+// removed.
 const requiredWitnesses = 2
 
 func nodeKey(id structs.NodeID) string { return nodePrefix + string(id) }
 
-// publishSelf makes the fact about this daemon of its present revision.
+// publishSelf publishes the fact about this daemon at its current revision.
 func (s *State) publishSelf() {
 	self := s.options.Self
-	own, known := s.members[self.ID]
+	m, exists := s.members[self.ID]
 	var revision uint64
-	if known {
-		revision = own.revision
+	if exists {
+		revision = m.revision
 	}
-	rank := uint64(rankAlive)
+	state := uint64(stateAlive)
 	if s.leaving {
-		rank = rankLeaving
+		state = stateLeaving
 	}
-	s.learn(&gossipv1.Fact{
+	s.learnFact(&gossipv1.Fact{
 		Key:   nodeKey(self.ID),
 		Major: uint64(self.Incarnation),
-		Minor: revision<<rankBits | rank,
+		Minor: revision<<stateBits | state,
 		Value: encodeNode(self, nil),
 	}, "")
 }
 
-// InitialNodeFact is the fact by which a daemon of the next incarnation presents itself.
+// InitialNodeFact returns the first fact about the next incarnation of a daemon.
 func InitialNodeFact(node structs.Node) *gossipv1.Fact {
 	return &gossipv1.Fact{
 		Key:   nodeKey(node.ID),
@@ -72,103 +74,105 @@
 		Memory:        uint64(node.Memory),
 	})
 	if err != nil {
-		// Only a string that is not UTF-8 fails; such a node stays unknown.
+		// Only a string that is not UTF-8 fails to encode; other daemons ignore such a
+		// node.
 		return nil
 	}
 	return value
 }
 
-// acceptNode checks a fact about a node and takes it over. It reports whether
-// the fact may be stored.
-func (s *State) acceptNode(f *fact) bool {
+// acceptNodeFact validates and applies a fact about a node, and reports whether the
+// fact may be stored.
+func (s *State) acceptNodeFact(f *fact) bool {
 	var value gossipv1.NodeFact
 	if err := proto.Unmarshal(f.value, &value); err != nil {
 		return false
 	}
 	id := structs.NodeID(f.key[len(nodePrefix):])
-	removal := f.minor == minorRemoved
-	if removal && !validRemoval(id, value.Witnesses) {
+	isRemoval := f.minor == removedMinor
+	if isRemoval && !isValidRemoval(id, value.Witnesses) {
 		return false
 	}
-	if id == s.options.Self.ID && !s.acceptOwn(f, removal) {
+	if id == s.options.Self.ID && !s.acceptSelfFact(f, isRemoval) {
 		return false
 	}
-	held, known := s.members[id]
-	if !known && removal && id != s.options.Self.ID {
-		// A tombstone of a daemon never met needs no remembering.
+	m, exists := s.members[id]
+	if !exists && isRemoval && id != s.options.Self.ID {
+		// The tombstone of an unknown daemon is not needed.
 		return false
 	}
-	if !known {
-		held = &member{}
-		s.members[id] = held
+	if !exists {
+		m = &member{}
+		s.members[id] = m
 	}
-	s.updateMember(held, id, f, &value)
+	s.updateMember(m, id, f, &value)
 	return true
 }
 
-// validRemoval reports whether enough daemons bear witness: two others, or the
-// daemon itself that left.
-func validRemoval(id structs.NodeID, witnesses []string) bool {
-	distinct := map[string]bool{}
+// isValidRemoval reports whether a removal has enough witnesses: two others, or the
+// daemon itself if it left voluntarily.
+func isValidRemoval(id structs.NodeID, witnesses []string) bool {
+	distinctWitnesses := map[string]bool{}
 	for _, witness := range witnesses {
 		if witness == string(id) {
 			return true
 		}
-		distinct[witness] = true
+		distinctWitnesses[witness] = true
 	}
-	return len(distinct) >= requiredWitnesses
+	return len(distinctWitnesses) >= requiredWitnesses
 }
 
-// acceptOwn handles a fact about this daemon that came from others.
-func (s *State) acceptOwn(f *fact, removal bool) bool {
+// acceptSelfFact applies a fact about this daemon that another daemon sent, and reports
+// whether the fact may be stored.
+func (s *State) acceptSelfFact(f *fact, isRemoval bool) bool {
 	self := s.options.Self
 	if f.major < uint64(self.Incarnation) {
 		return false
 	}
-	own, known := s.members[self.ID]
-	if !known || !removal && f.major == uint64(self.Incarnation) {
+	m, exists := s.members[self.ID]
+	if !exists || !isRemoval && f.major == uint64(self.Incarnation) {
 		return true
 	}
-	if removal && !s.leaving {
-		s.removedSelf = true
-		s.emit(Event{Kind: SelfRemoved, Node: own.node, Version: f.major})
+	if isRemoval && !s.leaving {
+		s.selfRemoved = true
+		s.emit(Event{Kind: SelfRemoved, Node: m.node, Version: f.major})
 	}
-	return removal
+	return isRemoval
 }
 
-// Rejoin brings a removed daemon back under a higher incarnation. The runner
-// calls it once the daemon acts on no earlier leadership.
+// Rejoin adds a removed daemon again under a higher incarnation. It must be called only
+// after the daemon has given up the leaderships of its previous incarnation.
 func (s *State) Rejoin(now time.Time, incarnation structs.Incarnation) {
 	s.now = now
-	own := s.members[s.options.Self.ID]
-	if incarnation <= own.node.Incarnation {
-		incarnation = own.node.Incarnation + 1
+	self := s.members[s.options.Self.ID]
+	if incarnation <= self.node.Incarnation {
+		incarnation = self.node.Incarnation + 1
 	}
 	s.options.Self.Incarnation = incarnation
-	s.removedSelf = false
-	own.revision = 0
-	s.introduced = now
-	s.forgetSuspicions()
+	s.selfRemoved = false
+	self.revision = 0
+	s.announcedAt = now
+	s.resetFailureDetection()
 	s.publishSelf()
 	s.nextHeartbeat = now
 	s.nextJoin = now
 }
 
-// forgetSuspicions drops what an earlier life held against others: it may have
-// been cut off itself.
-func (s *State) forgetSuspicions() {
+// resetFailureDetection removes the accusations of the previous incarnation, which may
+// have been disconnected itself.
+func (s *State) resetFailureDetection() {
 	accused := sortedKeys(s.accusations)
 	s.accusations = map[structs.NodeID]*accusation{}
 	s.watches = map[structs.NodeID]*watch{}
 	s.links = map[structs.NodeID]*link{}
-	s.derived = nil
+	s.cachedTopology = nil
 	for _, id := range accused {
-		s.report(s.members[id], false)
+		s.reportNode(s.members[id], false)
 	}
 }
 
 func (s *State) updateMember(m *member, id structs.NodeID, f *fact, value *gossipv1.NodeFact) {
-	before := m.node
+	previous := m.node
 	m.node = structs.Node{
 		ID:            id,
 		Incarnation:   structs.Incarnation(f.major),
@@ -181,45 +185,46 @@
 		State:         structs.NodeAlive,
 	}
 	switch {
-	case f.minor == minorRemoved:
+	case f.minor == removedMinor:
 		m.node.State = structs.NodeDead
-		m.removed = s.now
-		m.left = slices.Contains(value.Witnesses, string(id))
-		f.retired = true
+		m.removedAt = s.now
+		m.leftVoluntarily = slices.Contains(value.Witnesses, string(id))
+		f.tombstone = true
 		m.revision = 0
-	case f.minor&1 == rankLeaving:
+	case f.minor&1 == stateLeaving:
 		m.node.State = structs.NodeLeaving
-		m.revision = f.minor >> rankBits
+		m.revision = f.minor >> stateBits
 	default:
-		m.revision = f.minor >> rankBits
+		m.revision = f.minor >> stateBits
 	}
-	if m.ring[0] == 0 {
-		for ring := range m.ring {
-			m.ring[ring] = ringPosition(string(id), ring)
+	if m.ringPositions[0] == 0 {
+		for ring := range m.ringPositions {
+			m.ringPositions[ring] = ringPosition(string(id), ring)
 		}
 	}
-	s.place(m, before)
+	s.updateZoneIndex(m, previous)
 	s.dropStaleAccusation(m)
-	changed := before != m.node
-	s.report(m, changed)
+	changed := previous != m.node
+	s.reportNode(m, changed)
 }
 
-// place follows a member's admission, removal and move to another zone.
-func (s *State) place(m *member, before structs.Node) {
-	was := before.ID != "" && before.State != structs.NodeDead
-	is := m.node.State != structs.NodeDead
-	if was == is && before.Zone == m.node.Zone {
+// updateZoneIndex updates the members by zone after an admission, a removal or a change
+// of zone.
+func (s *State) updateZoneIndex(m *member, previous structs.Node) {
+	wasMember := previous.ID != "" && previous.State != structs.NodeDead
+	isMember := m.node.State != structs.NodeDead
+	if wasMember == isMember && previous.Zone == m.node.Zone {
 		return
 	}
-	if was {
-		s.exit(m, before.Zone)
+	if wasMember {
+		s.removeFromZone(m, previous.Zone)
 	}
-	if is {
-		s.enter(m)
+	if isMember {
+		s.addToZone(m)
 	}
 }
 
-// intern lets equal names share memory.
+// intern returns a shared copy of the name, to save memory.
 func (s *State) intern(name string) string {
 	if name == string(s.options.Self.Zone) {
 		return string(s.options.Self.Zone)
@@ -227,34 +232,34 @@
 	if name == s.options.Self.Region {
 		return s.options.Self.Region
 	}
-	if held, known := s.names[name]; known {
-		return held
+	if interned, exists := s.internedNames[name]; exists {
+		return interned
 	}
-	s.names[name] = name
+	s.internedNames[name] = name
 	return name
 }
 
-// present returns a member in the state that this daemon sees it in.
-func (s *State) present(m *member) structs.Node {
+// observedNode returns a member with the state that this daemon observes.
+func (s *State) observedNode(m *member) structs.Node {
 	node := m.node
-	if node.State == structs.NodeAlive && (s.accused(m) || s.cut[node.Zone]) {
+	if node.State == structs.NodeAlive && (s.isAccused(m) || s.unreachableZones[node.Zone]) {
 		node.State = structs.NodeSuspect
 	}
 	return node
 }
 
-// report tells of a member if its presented state changed or force is set.
-func (s *State) report(m *member, force bool) {
-	node := s.present(m)
-	if !force && node.State == m.reported {
+// reportNode emits an event if the observed state of a member changed or force is set.
+func (s *State) reportNode(m *member, force bool) {
+	node := s.observedNode(m)
+	if !force && node.State == m.reportedState {
 		return
 	}
-	m.reported = node.State
+	m.reportedState = node.State
 	s.emit(Event{Kind: NodeChanged, Node: node})
 }
 
-// Leave announces that the daemon is going: it stays a member, but takes no
-// new work.
+// Leave announces that the daemon is leaving: it remains a member, but accepts no new
+// work.
 func (s *State) Leave(now time.Time) {
 	s.now = now
 	s.leaving = true
@@ -263,37 +268,37 @@
 	s.flush()
 }
 
-// RemoveSelf takes the daemon out of the members; it must not send afterwards.
+// RemoveSelf removes the daemon from the members; it must not send messages afterwards.
 func (s *State) RemoveSelf(now time.Time) {
 	s.now = now
 	self := s.options.Self
-	s.learn(&gossipv1.Fact{
+	s.learnFact(&gossipv1.Fact{
 		Key:   nodeKey(self.ID),
 		Major: uint64(self.Incarnation),
-		Minor: minorRemoved,
+		Minor: removedMinor,
 		Value: encodeNode(self, []string{string(self.ID)}),
 	}, "")
 	s.flush()
-	s.removedSelf = true
+	s.selfRemoved = true
 }
 
-// sweepPeriod is how often memory of the removed is looked through.
-const sweepPeriod = time.Minute
+// cleanupInterval is the interval at which expired tombstones and pings are removed.
+const cleanupInterval = time.Minute
 
-func (s *State) sweep() {
-	s.nextSweep = s.now.Add(sweepPeriod)
+func (s *State) cleanUp() {
+	s.nextCleanup = s.now.Add(cleanupInterval)
 	for id, m := range s.members {
-		if m.node.State == structs.NodeDead && s.now.Sub(m.removed) > s.timing.TombstoneLifetime {
-			if held := s.facts.get(nodeKey(id)); held != nil {
-				s.facts.forget(held)
+		if m.node.State == structs.NodeDead && s.now.Sub(m.removedAt) > s.timing.TombstoneLifetime {
+			if stored := s.facts.get(nodeKey(id)); stored != nil {
+				s.facts.removeTombstone(stored)
 			}
 			delete(s.members, id)
 			s.emit(Event{Kind: NodeExpired, Node: m.node})
 		}
 	}
-	for nonce, p := range s.pings {
+	for nonce, p := range s.pendingPings {
 		if s.now.Sub(p.sent) > s.timing.TombstoneLifetime {
-			delete(s.pings, nonce)
+			delete(s.pendingPings, nonce)
 		}
 	}
 }
--- a/internal/membership/options.go
+++ b/internal/membership/options.go
@@ -10,44 +10,48 @@
 
 // Options configure a State.
 type Options struct {
-	// Self is the daemon; its incarnation must be higher than in any earlier life.
+	// Self is this daemon; its incarnation must be higher than all its previous ones.
 	Self structs.Node
 	// Seeds are peer addresses through which the daemon joins.
 	Seeds []string
 	// Document is the large value that all daemons share; nil if there is none.
 	Document Document
-	// Random is the source of every choice by chance.
+	// Random is the source of all randomness.
 	Random *rand.Rand
-	// NewEstimator makes the timeout of a watched peer; nil means DefaultEstimator.
+	// NewEstimator creates the estimator for a watched peer; nil selects
+	// DefaultEstimator.
 	NewEstimator func() TimeoutEstimator
-	// Timing holds the periods; the zero value means DefaultTiming.
+	// Timing holds the intervals and timeouts; the zero value selects DefaultTiming.
 	Timing Timing
 }
 
-// Timing holds the periods of failure detection and dissemination.
+// Timing holds the intervals and timeouts of failure detection and dissemination.
 type Timing struct {
-	// HeartbeatInterval is the period of heartbeats.
+	// HeartbeatInterval is the interval between heartbeats.
 	HeartbeatInterval time.Duration
-	// InitialTimeout is how long a newly watched peer may stay silent.
+	// InitialTimeout is how long a newly watched peer may be silent.
 	InitialTimeout time.Duration
-	// ProbeTimeout bounds the wait for direct and indirect answers.
+	// ProbeTimeout is how long a probe waits for direct and indirect answers.
 	ProbeTimeout time.Duration
-	// RefutationTimeout is how long an accused daemon has to contradict before it is removed.
+	// RefutationTimeout is how long an accused daemon has to refute before it is
+	// removed.
 	RefutationTimeout time.Duration
 	// FlushDelay is how long a changed fact waits for others to be sent with it.
 	FlushDelay time.Duration
-	// LinkTimeout is how long a link between zones may be silent before it
-	// counts as cut.
+	// LinkTimeout is how long a link between zones may be silent before it counts as
+	// down.
 	LinkTimeout time.Duration
-	// SettleTime is how long digests may differ before they are compared by bucket.
+	// SettleTime is how long the facts must be unchanged before differing digests are
+	// compared by bucket.
 	SettleTime time.Duration
 	// TombstoneLifetime is how long a removed daemon is remembered.
 	TombstoneLifetime time.Duration
-	// JoinInterval is the period at which a daemon that knows no other asks its seeds.
+	// JoinInterval is the interval at which a daemon that has not joined contacts its
+	// seeds.
 	JoinInterval time.Duration
 }
 
-// DefaultTiming returns the periods that docs/design/membership.md derives.
+// DefaultTiming returns the values derived in docs/design/membership.md.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatInterval: time.Second,
@@ -68,29 +72,29 @@
 	Message *gossipv1.Message
 }
 
-// EventKind says what an Event reports.
+// EventKind is the kind of an Event.
 type EventKind int
 
-// The kinds of events.
+// Kinds of events.
 const (
-	// NodeChanged: a member was admitted or its state or addresses changed.
+	// NodeChanged: a member was admitted, or its state or addresses changed.
 	NodeChanged EventKind = iota
-	// ItemChanged: a newer item is held.
+	// ItemChanged: a newer version of an item was stored.
 	ItemChanged
-	// DocumentActivated: a newer version of the document is in force.
+	// DocumentActivated: a newer version of the document is active.
 	DocumentActivated
-	// SelfRemoved: the others removed this daemon. It must stop leading, and
-	// call Rejoin to come back under a higher incarnation.
+	// SelfRemoved: the others removed this daemon. It must give up its leaderships, and
+	// call Rejoin to become a member again under a higher incarnation.
 	SelfRemoved
-	// ZoneUnreachable and ZoneReachable: all links from a zone fell silent, or
-	// one of them came back.
+	// ZoneUnreachable and ZoneReachable: no path of working links leads from a zone any
+	// more, or one does again.
 	ZoneUnreachable
 	ZoneReachable
-	// NodeExpired: a daemon that was removed long ago is no longer known.
+	// NodeExpired: the tombstone of a removed daemon has expired.
 	NodeExpired
 )
 
-// Event is a change that the runner reports.
+// Event is a change that the caller of a State must handle.
 type Event struct {
 	Kind    EventKind
 	Node    structs.Node
@@ -99,9 +103,9 @@
 	Zone    structs.ZoneName
 }
 
-// Item is a versioned fact that daemons publish. Keys must be bounded in
-// number: an item is never dropped. Equal versions with different values are
-// settled by the values, the same way everywhere.
+// Item is a versioned value that daemons publish. The number of keys must be bounded,
+// because items are never deleted. If two items have the same version and different
+// values, the order of the values' hashes decides, which is the same on every daemon.
 type Item struct {
 	Key     string
 	Version uint64
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -7,10 +7,10 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Receive handles a message.
+// Receive processes a message.
 func (s *State) Receive(now time.Time, m *gossipv1.Message) {
 	s.now = now
-	if s.removedSelf || m.From == string(s.options.Self.ID) {
+	if s.selfRemoved || m.From == string(s.options.Self.ID) {
 		return
 	}
 	if s.receiveJoin(m) {
@@ -20,33 +20,34 @@
 	s.completeJoin(m)
 	from, known := s.members[structs.NodeID(m.From)]
 	if !known {
-		s.askStranger(m)
+		s.greetUnknownSender(m)
 		return
 	}
-	if s.turnAway(from, m) {
+	if s.rejectRemoved(from, m) {
 		return
 	}
 	if from.node.Zone != s.options.Self.Zone {
-		s.heardElsewhere = s.now
+		s.lastOtherZoneMessage = s.now
 	}
-	s.signOfLife(from, m)
+	s.recordMessage(from, m)
 	s.receiveAccusations(from, m)
 	s.receiveProbes(from, m)
 	s.receiveSync(from, m)
 	s.receiveDocument(from, m)
 }
 
-// turnAway tells a daemon that was removed so, and reports whether it was.
-func (s *State) turnAway(from *member, m *gossipv1.Message) bool {
+// rejectRemoved handles a message from a removed daemon and reports whether the sender
+// is one. The sender is told of its removal, unless it has a newer incarnation.
+func (s *State) rejectRemoved(from *member, m *gossipv1.Message) bool {
 	if from.node.State != structs.NodeDead {
 		return false
 	}
 	if uint64(from.node.Incarnation) >= m.Incarnation {
-		held := s.facts.get(nodeKey(from.node.ID))
-		s.send(from.node, &gossipv1.Message{Facts: []*gossipv1.Fact{held.message()}})
+		tombstone := s.facts.get(nodeKey(from.node.ID))
+		s.send(from.node, &gossipv1.Message{Facts: []*gossipv1.Fact{tombstone.proto()}})
 		return true
 	}
-	s.askStranger(m)
+	s.greetUnknownSender(m)
 	return true
 }
 
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -13,7 +13,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// step is the grain of simulated time.
+// step is the resolution of simulated time.
 const step = 20 * time.Millisecond
 
 type peer struct {
@@ -21,9 +21,10 @@
 	state   *membership.State
 	running bool
 	paused  bool
-	// versions are the newest item versions that the daemon ever reported in this life.
+	// versions are the newest item versions that this incarnation of the daemon
+	// reported.
 	versions map[string]uint64
-	removed  int
+	removals int
 }
 
 type delivery struct {
@@ -33,26 +34,26 @@
 	data []byte
 }
 
-// simulation drives states over a lossy network and watches what they do.
+// simulation runs states over a lossy network and checks their events.
 type simulation struct {
-	now    time.Time
-	random *rand.Rand
-	loss   float64
-	cut    map[structs.ZoneName]bool
-	// rack holds daemons that reach only each other.
-	rack    map[*peer]bool
-	peers   []*peer
-	flight  []delivery
-	faults  []string
-	tampers func(from *peer, m *gossipv1.Message)
+	now      time.Time
+	random   *rand.Rand
+	loss     float64
+	cutZones map[structs.ZoneName]bool
+	// rack is a set of daemons that can reach only each other.
+	rack     map[*peer]bool
+	peers    []*peer
+	inFlight []delivery
+	faults   []string
+	inspect  func(from *peer, m *gossipv1.Message)
 }
 
 func newSimulation(seed uint64, count, zones int) *simulation {
 	s := &simulation{
-		now:    time.Unix(1000, 0),
-		random: rand.New(rand.NewPCG(seed, 9)),
-		cut:    map[structs.ZoneName]bool{},
-		rack:   map[*peer]bool{},
+		now:      time.Unix(1000, 0),
+		random:   rand.New(rand.NewPCG(seed, 9)),
+		cutZones: map[structs.ZoneName]bool{},
+		rack:     map[*peer]bool{},
 	}
 	for i := range count {
 		p := &peer{node: structs.Node{
@@ -79,11 +80,11 @@
 	})
 }
 
-// run lets time pass.
+// run advances the simulated time.
 func (s *simulation) run(span time.Duration) {
 	for end := s.now.Add(span); s.now.Before(end); {
 		s.now = s.now.Add(step)
-		s.arrive()
+		s.deliverDue()
 		for _, p := range s.peers {
 			if p.running && !p.paused {
 				p.state.Tick(s.now)
@@ -93,9 +94,9 @@
 	}
 }
 
-func (s *simulation) arrive() {
-	due := slices.DeleteFunc(slices.Clone(s.flight), func(d delivery) bool { return d.at.After(s.now) })
-	s.flight = slices.DeleteFunc(s.flight, func(d delivery) bool { return !d.at.After(s.now) })
+func (s *simulation) deliverDue() {
+	due := slices.DeleteFunc(slices.Clone(s.inFlight), func(d delivery) bool { return d.at.After(s.now) })
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(d delivery) bool { return !d.at.After(s.now) })
 	for _, d := range due {
 		if !d.to.running || d.to.paused {
 			continue
@@ -113,23 +114,23 @@
 func (s *simulation) collect(p *peer) {
 	outgoing, events := p.state.Drain()
 	for _, out := range outgoing {
-		if s.tampers != nil {
-			s.tampers(p, out.Message)
+		if s.inspect != nil {
+			s.inspect(p, out.Message)
 		}
 		s.transmit(p, out)
 	}
 	for _, event := range events {
-		s.watch(p, event)
+		s.checkEvent(p, event)
 	}
 }
 
 func (s *simulation) transmit(from *peer, out membership.Outgoing) {
-	at := slices.IndexFunc(s.peers, func(p *peer) bool { return p.node.PeerAddress == out.To.PeerAddress })
-	if at < 0 {
+	index := slices.IndexFunc(s.peers, func(p *peer) bool { return p.node.PeerAddress == out.To.PeerAddress })
+	if index < 0 {
 		return
 	}
-	to := s.peers[at]
-	if from.node.Zone != to.node.Zone && (s.cut[from.node.Zone] || s.cut[to.node.Zone]) {
+	to := s.peers[index]
+	if from.node.Zone != to.node.Zone && (s.cutZones[from.node.Zone] || s.cutZones[to.node.Zone]) {
 		return
 	}
 	if s.rack[from] != s.rack[to] || s.random.Float64() < s.loss {
@@ -141,35 +142,35 @@
 		return
 	}
 	delay := time.Duration(s.random.Int64N(int64(60 * time.Millisecond)))
-	s.flight = append(s.flight, delivery{s.now.Add(delay), to, from, data})
+	s.inFlight = append(s.inFlight, delivery{s.now.Add(delay), to, from, data})
 }
 
-// watch holds the events against the oracle.
-func (s *simulation) watch(p *peer, event membership.Event) {
+// checkEvent checks an event against the oracle.
+func (s *simulation) checkEvent(p *peer, event membership.Event) {
 	switch event.Kind {
 	case membership.ItemChanged:
 		if event.Item.Version < p.versions[event.Item.Key] {
-			s.faults = append(s.faults, fmt.Sprintf("%s: item %s went back to %d", p.node.ID, event.Item.Key, event.Item.Version))
+			s.faults = append(s.faults, fmt.Sprintf("%s: version of item %s decreased to %d", p.node.ID, event.Item.Key, event.Item.Version))
 		}
 		p.versions[event.Item.Key] = event.Item.Version
 	case membership.SelfRemoved:
-		p.removed++
+		p.removals++
 		p.node.Incarnation++
 		p.state.Rejoin(s.now, p.node.Incarnation)
 	case membership.NodeChanged:
-		s.watchNode(p, event.Node)
+		s.checkNode(p, event.Node)
 	}
 }
 
-func (s *simulation) watchNode(p *peer, node structs.Node) {
-	at := slices.IndexFunc(s.peers, func(other *peer) bool { return other.node.ID == node.ID })
-	if node.Incarnation > s.peers[at].node.Incarnation {
-		s.faults = append(s.faults, fmt.Sprintf("%s: %s has a life %d that never was", p.node.ID, node.ID, node.Incarnation))
+func (s *simulation) checkNode(p *peer, node structs.Node) {
+	index := slices.IndexFunc(s.peers, func(other *peer) bool { return other.node.ID == node.ID })
+	if node.Incarnation > s.peers[index].node.Incarnation {
+		s.faults = append(s.faults, fmt.Sprintf("%s: %s has an incarnation %d that never existed", p.node.ID, node.ID, node.Incarnation))
 	}
 }
 
-// disagreement tells the first difference between what running daemons see and
-// what is; empty if there is none.
+// disagreement describes the first difference between the views of running daemons and
+// the actual state; empty if there is none.
 func (s *simulation) disagreement() string {
 	for _, viewer := range s.peers {
 		if !viewer.running {
@@ -179,35 +180,36 @@
 			node, known := viewer.state.Node(subject.node.ID)
 			switch {
 			case subject.running && (!known || node.State != structs.NodeAlive || node.Incarnation != subject.node.Incarnation):
-				return fmt.Sprintf("%s sees running %s as %q life %d (is %d)", viewer.node.ID, subject.node.ID, node.State, node.Incarnation, subject.node.Incarnation)
+				return fmt.Sprintf("%s sees running %s as %q with incarnation %d (actual: %d)", viewer.node.ID, subject.node.ID, node.State, node.Incarnation, subject.node.Incarnation)
 			case !subject.running && known && node.State == structs.NodeAlive:
-				return fmt.Sprintf("%s sees stopped %s alive", viewer.node.ID, subject.node.ID)
+				return fmt.Sprintf("%s sees stopped %s as alive", viewer.node.ID, subject.node.ID)
 			}
 		}
 	}
 	return ""
 }
 
-// publication is the last version of an item, and the life that published it.
+// publication is the last published version of an item, and the incarnation that
+// published it.
 type publication struct {
-	version uint64
-	by      *peer
-	life    structs.Incarnation
+	version     uint64
+	publisher   *peer
+	incarnation structs.Incarnation
 }
 
-// itemDisagreement tells the first item that the running daemons don't hold at
-// one version. That is the last one published, unless its publisher crashed:
-// then it may be lost, everywhere.
+// itemDisagreement describes the first item of which the running daemons hold different
+// versions; empty if there is none. They must hold the last published version, unless
+// its publisher crashed: then it may be lost on all daemons.
 func (s *simulation) itemDisagreement(published map[string]publication) string {
 	for key, last := range published {
 		first, _ := s.peers[0].state.Item(key)
-		survives := last.by.node.Incarnation == last.life
+		survives := last.publisher.node.Incarnation == last.incarnation
 		if survives && first.Version != last.version || first.Version > last.version {
-			return fmt.Sprintf("%s is at %d, published %d", key, first.Version, last.version)
+			return fmt.Sprintf("%s has version %d, but version %d was published", key, first.Version, last.version)
 		}
 		for _, viewer := range s.peers {
 			if item, _ := viewer.state.Item(key); item.Version != first.Version {
-				return fmt.Sprintf("%s holds %s at %d, not %d", viewer.node.ID, key, item.Version, first.Version)
+				return fmt.Sprintf("%s holds %s at version %d instead of %d", viewer.node.ID, key, item.Version, first.Version)
 			}
 		}
 	}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -1,12 +1,12 @@
-// Package membership keeps the members of a cluster of daemons: it detects
-// failures, removes and admits daemons, and spreads versioned facts and one
-// document. It does no I/O: a State takes messages and the time, and gives back
+// Package membership maintains the membership of a cluster of daemons: it detects
+// failures, admits and removes daemons, and disseminates versioned facts and one
+// document. It does no I/O: a State receives messages and the time, and returns
 // messages and events.
 //
-// Each daemon is watched by a constant number of daemons of its zone, along the
-// edges of an expander graph; a few daemons link each zone with others. Facts
-// flow along the same edges and differences are found by digests, so that the
-// cost for a daemon does not grow with the cluster.
+// Each daemon is watched by a constant number of daemons of its zone, along the edges
+// of an expander graph, and a few daemons of each zone are linked with other zones.
+// Facts are disseminated along the same edges, and missing facts are found by comparing
+// digests, so that the cost per daemon does not grow with the cluster.
 package membership
 
 import (
@@ -16,20 +16,21 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// member is a daemon as this one knows it.
+// member is this daemon's record of a daemon.
 type member struct {
 	node structs.Node
-	// revision rises when the daemon contradicts an accusation.
-	revision uint64
-	ring     [watcherCount]uint64
-	removed  time.Time
-	// left is set if the daemon went by itself.
-	left bool
-	// reported is the state that was last told by an event.
-	reported structs.NodeState
+	// revision increases when the daemon refutes an accusation.
+	revision      uint64
+	ringPositions [watcherCount]uint64
+	removedAt     time.Time
+	// leftVoluntarily is set if the daemon left by itself.
+	leftVoluntarily bool
+	// reportedState is the state in the last event about the member.
+	reportedState structs.NodeState
 }
 
-// State is one daemon's part of membership. It is not safe for concurrent use.
+// State is the membership protocol state of one daemon. It is not safe for concurrent
+// use.
 type State struct {
 	options Options
 	timing  Timing
@@ -38,44 +39,46 @@
 
 	members map[structs.NodeID]*member
 	facts   factStore
-	// byZone holds the members that were not removed.
-	byZone  map[structs.ZoneName][]*member
-	ends    map[endsKey][]*member
-	derived *topology
-
-	heartbeat     uint64
-	nextHeartbeat time.Time
-	nextJoin      time.Time
-	nextReunion   time.Time
-	nextSweep     time.Time
-
-	watches     map[structs.NodeID]*watch
-	accusations map[structs.NodeID]*accusation
-	pings       map[uint64]ping
-	links       map[structs.NodeID]*link
-	// heardElsewhere is when a message from another zone came last.
-	heardElsewhere time.Time
-	cut            map[structs.ZoneName]bool
-	zonesStale     bool
-	// pathless are the zones that no path of regular links leads from; a change
-	// of them sets detoursStale.
-	pathless     map[structs.ZoneName]bool
-	detoursStale bool
-	names        map[string]string
-
-	pending     []pendingFact
-	nextFlush   time.Time
-	lastChanged time.Time
-	nextSync    time.Time
-	fetch       *documentFetch
-	// introduced is when the daemon told its neighbours of itself.
-	introduced time.Time
-	// joined daemons hold what the others hold and have introduced themselves.
+	// membersByZone holds the members that are not removed.
+	membersByZone  map[structs.ZoneName][]*member
+	endpoints      map[endpointsKey][]*member
+	cachedTopology *topology
+
+	heartbeatNumber uint64
+	nextHeartbeat   time.Time
+	nextJoin        time.Time
+	nextReconnect   time.Time
+	nextCleanup     time.Time
+
+	watches      map[structs.NodeID]*watch
+	accusations  map[structs.NodeID]*accusation
+	pendingPings map[uint64]ping
+	links        map[structs.NodeID]*link
+	// lastOtherZoneMessage is when the last message from another zone arrived.
+	lastOtherZoneMessage time.Time
+	unreachableZones     map[structs.ZoneName]bool
+	reachabilityStale    bool
+	// noRegularPath is the set of zones from which no path of regular links leads here.
+	// A change of it sets fallbackLinksStale.
+	noRegularPath      map[structs.ZoneName]bool
+	fallbackLinksStale bool
+	internedNames      map[string]string
+
+	pending       []pendingFact
+	nextFlush     time.Time
+	lastChanged   time.Time
+	nextSync      time.Time
+	documentFetch *documentFetch
+	// announcedAt is when the daemon announced itself to its neighbours.
+	announcedAt time.Time
+	// joined is set once the daemon has received the facts of the others and announced
+	// itself.
 	joined       bool
 	joinAttempts int
-	// joinTotal is the number of facts that a seed said it sent; 0 if none did.
+	// joinTotal is the number of facts that a seed announced in its reply; 0 if
+	// unknown.
 	joinTotal   int
-	removedSelf bool
+	selfRemoved bool
 	leaving     bool
 
 	outgoing []Outgoing
@@ -91,58 +94,59 @@
 		options.NewEstimator = func() TimeoutEstimator { return DefaultEstimator(options.Timing.HeartbeatInterval) }
 	}
 	s := &State{
-		options:     options,
-		timing:      options.Timing,
-		members:     map[structs.NodeID]*member{},
-		byZone:      map[structs.ZoneName][]*member{},
-		ends:        map[endsKey][]*member{},
-		watches:     map[structs.NodeID]*watch{},
-		accusations: map[structs.NodeID]*accusation{},
-		pings:       map[uint64]ping{},
-		links:       map[structs.NodeID]*link{},
-		cut:         map[structs.ZoneName]bool{},
-		names:       map[string]string{},
+		options:          options,
+		timing:           options.Timing,
+		members:          map[structs.NodeID]*member{},
+		membersByZone:    map[structs.ZoneName][]*member{},
+		endpoints:        map[endpointsKey][]*member{},
+		watches:          map[structs.NodeID]*watch{},
+		accusations:      map[structs.NodeID]*accusation{},
+		pendingPings:     map[uint64]ping{},
+		links:            map[structs.NodeID]*link{},
+		unreachableZones: map[structs.ZoneName]bool{},
+		internedNames:    map[string]string{},
 	}
 	s.options.Self.State = structs.NodeAlive
 	s.publishSelf()
 	return s
 }
 
-// Drain returns and forgets the messages and events that piled up.
+// Drain returns and removes the pending messages and events.
 func (s *State) Drain() ([]Outgoing, []Event) {
 	outgoing, events := s.outgoing, s.events
 	s.outgoing, s.events = nil, nil
 	return outgoing, events
 }
 
-// Self returns the daemon as it presents itself.
+// Self returns this daemon's own node.
 func (s *State) Self() structs.Node { return s.options.Self }
 
-// Nodes returns all known daemons, also those removed not long ago, in no order.
+// Nodes returns all known daemons, including recently removed ones, in no particular
+// order.
 func (s *State) Nodes() []structs.Node {
 	nodes := make([]structs.Node, 0, len(s.members))
 	for _, m := range s.members {
-		nodes = append(nodes, s.present(m))
+		nodes = append(nodes, s.observedNode(m))
 	}
 	return nodes
 }
 
-// Node returns a daemon by its id.
+// Node returns a daemon by its ID.
 func (s *State) Node(id structs.NodeID) (structs.Node, bool) {
 	m, known := s.members[id]
 	if !known {
 		return structs.Node{}, false
 	}
-	return s.present(m), true
+	return s.observedNode(m), true
 }
 
-// Tick does what is due.
+// Tick runs the timers that are due.
 func (s *State) Tick(now time.Time) {
 	s.now = now
 	if !s.started {
 		s.start()
 	}
-	if s.removedSelf {
+	if s.selfRemoved {
 		return
 	}
 	if !s.joined && !now.Before(s.nextJoin) {
@@ -150,22 +154,22 @@
 	}
 	s.topology()
 	if s.joined && !now.Before(s.nextHeartbeat) {
-		s.beat()
+		s.sendHeartbeats()
 	}
-	if !now.Before(s.nextReunion) {
-		s.reunite()
+	if !now.Before(s.nextReconnect) {
+		s.reconnect()
 	}
-	if !now.Before(s.nextSweep) {
-		s.sweep()
+	if !now.Before(s.nextCleanup) {
+		s.cleanUp()
 	}
 	s.checkWatches()
 	s.checkLinks()
-	if s.zonesStale {
-		s.checkZones()
+	if s.reachabilityStale {
+		s.updateReachability()
 	}
-	if s.detoursStale {
-		s.detoursStale = false
-		s.derived = nil
+	if s.fallbackLinksStale {
+		s.fallbackLinksStale = false
+		s.cachedTopology = nil
 		s.topology()
 	}
 	s.checkAccusations()
@@ -178,13 +182,13 @@
 	s.started = true
 	s.nextHeartbeat = s.now
 	s.nextJoin = s.now
-	s.nextReunion = s.now.Add(reunionPeriod)
-	s.nextSweep = s.now.Add(sweepPeriod)
+	s.nextReconnect = s.now.Add(reconnectInterval)
+	s.nextCleanup = s.now.Add(cleanupInterval)
 }
 
-// NextWake returns when Tick is due next if no message comes before.
+// NextWake returns when Tick must be called next if no message arrives before.
 func (s *State) NextWake() time.Time {
-	if !s.started || s.removedSelf {
+	if !s.started || s.selfRemoved {
 		return s.now.Add(s.timing.HeartbeatInterval)
 	}
 	wake := s.nextHeartbeat
@@ -200,13 +204,13 @@
 		earlier(s.nextFlush)
 	}
 	for _, w := range s.watches {
-		earlier(w.due())
+		earlier(w.nextDeadline())
 	}
 	for _, a := range s.accusations {
 		if a.witness(s.options.Self.ID) == nil {
 			continue
 		}
-		earlier(a.confirmed.Add(s.timing.RefutationTimeout))
+		earlier(a.confirmedAt.Add(s.timing.RefutationTimeout))
 	}
 	if !wake.After(s.now) {
 		return s.now.Add(time.Millisecond)
@@ -214,13 +218,13 @@
 	return wake
 }
 
-// beat sends a heartbeat to each watcher and link peer.
-func (s *State) beat() {
-	s.heartbeat++
+// sendHeartbeats sends a heartbeat to each watcher and link peer.
+func (s *State) sendHeartbeats() {
+	s.heartbeatNumber++
 	s.nextHeartbeat = s.nextHeartbeat.Add(s.timing.HeartbeatInterval)
-	if s.heartbeat == 1 {
-		// The first one goes out at once; the phase of the others is random, so
-		// that daemons that started together don't send together.
+	if s.heartbeatNumber == 1 {
+		// The first heartbeat is sent immediately. The phase of the others is random,
+		// so that daemons that start together do not send together.
 		s.nextHeartbeat = s.now.Add(time.Duration(s.options.Random.Int64N(int64(s.timing.HeartbeatInterval))))
 	}
 	if s.nextHeartbeat.Before(s.now) {
@@ -228,20 +232,20 @@
 	}
 	for _, neighbour := range s.topology().neighbours {
 		s.send(neighbour.node, &gossipv1.Message{
-			Heartbeat:       s.heartbeat,
-			Digest:          s.facts.root(),
+			Heartbeat:       s.heartbeatNumber,
+			Digest:          s.facts.rootDigest(),
 			DocumentVersion: s.documentVersion(),
-			Address:         s.introductionTo(neighbour),
+			Address:         s.announcedAddress(neighbour),
 		})
 	}
-	s.repeatAccusations()
+	s.resendAccusations()
 }
 
-// introductionTo returns the address that a heartbeat carries, by which a peer that
-// does not know this daemon can answer it. One that is suspected may have come back
-// without its memory.
-func (s *State) introductionTo(neighbour *member) string {
-	if s.now.Sub(s.introduced) < introductionSpan || s.present(neighbour).State == structs.NodeSuspect {
+// announcedAddress returns the address that a heartbeat carries, by which a peer that
+// does not know this daemon can reply. It is also sent to suspected peers, which may
+// have restarted without their memory.
+func (s *State) announcedAddress(neighbour *member) string {
+	if s.now.Sub(s.announcedAt) < announcementPeriod || s.observedNode(neighbour).State == structs.NodeSuspect {
 		return s.options.Self.PeerAddress
 	}
 	return ""
--- a/internal/membership/state_test.go
+++ b/internal/membership/state_test.go
@@ -14,57 +14,59 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// removals records the evidence of each removal that travels, by the subject's life.
-func removals(t require.TestingT, s *simulation) {
-	s.tampers = func(from *peer, m *gossipv1.Message) {
+// checkRemovals checks that each removal on the network has two witnesses or is
+// voluntary.
+func checkRemovals(t require.TestingT, s *simulation) {
+	s.inspect = func(from *peer, m *gossipv1.Message) {
 		for _, fact := range m.Facts {
 			if fact.Minor != 1<<64-1 || fact.Key[:2] != "n/" {
 				continue
 			}
 			var value gossipv1.NodeFact
 			require.NoError(t, proto.Unmarshal(fact.Value, &value))
-			distinct := map[string]bool{}
+			distinctWitnesses := map[string]bool{}
 			for _, witness := range value.Witnesses {
-				distinct[witness] = true
+				distinctWitnesses[witness] = true
 			}
-			left := distinct[fact.Key[2:]]
-			require.True(t, left || len(distinct) >= 2, "removal of %s by %v", fact.Key, value.Witnesses)
+			isVoluntary := distinctWitnesses[fact.Key[2:]]
+			require.True(t, isVoluntary || len(distinctWitnesses) >= 2, "removal of %s by %v", fact.Key, value.Witnesses)
 		}
 	}
 }
 
-// TestStateMachine runs random faults and then quiet: all must agree again, no
-// item may go back, and each removal needs two witnesses.
+// TestStateMachine injects random faults and then heals them. After that all daemons
+// must agree, and at no time may an item version decrease or a removal have fewer than
+// two witnesses.
 func TestStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 4).Draw(t, "zones")
 		count := rapid.IntRange(3, 10).Draw(t, "daemons")
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"), count, zones)
-		removals(t, s)
+		checkRemovals(t, s)
 		s.run(6 * time.Second)
 		published := map[string]publication{}
 		steps := rapid.IntRange(1, 8).Draw(t, "steps")
 		for range steps {
-			s.act(t, published)
+			s.randomAction(t, published)
 			s.run(time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond)
 		}
-		s.quiet()
+		s.heal()
 		require.Empty(t, s.faults)
 		require.Empty(t, s.disagreement())
 		require.Empty(t, s.itemDisagreement(published))
 	})
 }
 
-// act does one random thing to the cluster.
-func (s *simulation) act(t *rapid.T, published map[string]publication) {
+// randomAction performs one random action on the cluster.
+func (s *simulation) randomAction(t *rapid.T, published map[string]publication) {
 	p := s.peers[rapid.IntRange(0, len(s.peers)-1).Draw(t, "daemon")]
 	switch rapid.SampledFrom([]string{"loss", "cut", "heal", "crash", "restart", "pause", "wake", "publish", "publish"}).Draw(t, "action") {
 	case "loss":
 		s.loss = rapid.Float64Range(0, 0.2).Draw(t, "loss")
 	case "cut":
-		s.cut[p.node.Zone] = true
+		s.cutZones[p.node.Zone] = true
 	case "heal":
-		clear(s.cut)
+		clear(s.cutZones)
 	case "crash":
 		p.running = false
 	case "restart":
@@ -87,10 +89,10 @@
 	}
 }
 
-// quiet heals everything, brings the stopped back and waits.
-func (s *simulation) quiet() {
+// heal ends all faults, restarts stopped daemons and waits until the daemons agree.
+func (s *simulation) heal() {
 	s.loss = 0
-	clear(s.cut)
+	clear(s.cutZones)
 	for _, p := range s.peers {
 		p.paused = false
 		if !p.running {
@@ -108,7 +110,7 @@
 
 func TestOnlyCrashedDaemonIsRemoved(t *testing.T) {
 	s := newSimulation(1, 12, 3)
-	removals(t, s)
+	checkRemovals(t, s)
 	s.loss = 0.01
 	s.run(8 * time.Second)
 	require.Empty(t, s.disagreement())
@@ -122,14 +124,14 @@
 	}
 	require.Empty(t, s.disagreement())
 	for _, p := range s.peers {
-		require.Zero(t, p.removed)
+		require.Zero(t, p.removals)
 	}
 }
 
 func TestPartitionedZoneRecovers(t *testing.T) {
 	s := newSimulation(2, 15, 3)
 	s.run(8 * time.Second)
-	s.cut["z1"] = true
+	s.cutZones["z1"] = true
 	s.run(15 * time.Second)
 	for _, viewer := range s.peers {
 		for _, subject := range s.peers {
@@ -143,7 +145,7 @@
 	}
 	s.peers[1].state.Publish(s.now, membership.Item{Key: "inside", Version: 1})
 	s.peers[0].state.Publish(s.now, membership.Item{Key: "outside", Version: 1})
-	clear(s.cut)
+	clear(s.cutZones)
 	s.run(10 * time.Second)
 	require.Empty(t, s.disagreement())
 	require.Empty(t, s.itemDisagreement(map[string]publication{
@@ -151,7 +153,7 @@
 		"outside": {1, s.peers[0], 1},
 	}))
 	for _, p := range s.peers {
-		require.Zero(t, p.removed, "%s was removed", p.node.ID)
+		require.Zero(t, p.removals, "%s was removed", p.node.ID)
 	}
 }
 
@@ -159,16 +161,16 @@
 	for zones := 4; zones <= 9; zones++ {
 		s := newSimulation(uint64(zones), 4*zones, zones)
 		s.run(8 * time.Second)
-		far := func(p *peer) bool { return int(p.node.Zone[1]-'0') >= zones/2 }
+		inSecondRegion := func(p *peer) bool { return int(p.node.Zone[1]-'0') >= zones/2 }
 		for _, p := range s.peers {
-			s.rack[p] = far(p)
+			s.rack[p] = inSecondRegion(p)
 		}
 		s.run(30 * time.Second)
 		for _, viewer := range s.peers {
 			for _, subject := range s.peers {
 				node, _ := viewer.state.Node(subject.node.ID)
 				want := structs.NodeAlive
-				if far(viewer) != far(subject) {
+				if inSecondRegion(viewer) != inSecondRegion(subject) {
 					want = structs.NodeSuspect
 				}
 				require.Equal(t, want, node.State, "%d zones: %s at %s", zones, subject.node.ID, viewer.node.ID)
@@ -178,7 +180,7 @@
 		s.run(10 * time.Second)
 		require.Empty(t, s.disagreement())
 		for _, p := range s.peers {
-			require.Zero(t, p.removed)
+			require.Zero(t, p.removals)
 		}
 	}
 }
@@ -191,14 +193,14 @@
 			s.rack[s.peers[index]] = true
 		}
 		s.run(15 * time.Second)
-		outside, _ := s.peers[1].state.Node("n04")
-		require.Equal(t, structs.NodeDead, outside.State, "the others remove the rack")
+		rackMember, _ := s.peers[1].state.Node("n04")
+		require.Equal(t, structs.NodeDead, rackMember.State, "the others must remove the rack")
 		s.rack = map[*peer]bool{}
 		s.run(20 * time.Second)
 		require.Empty(t, s.disagreement())
 		for index, p := range s.peers {
 			if index%2 == 1 || index > 8 {
-				require.Zero(t, p.removed, "seed %d: %s was removed by the rack", seed, p.node.ID)
+				require.Zero(t, p.removals, "seed %d: %s was removed by the rack", seed, p.node.ID)
 			}
 		}
 	}
@@ -214,7 +216,7 @@
 	require.Equal(t, structs.NodeDead, node.State)
 	paused.paused = false
 	s.run(15 * time.Second)
-	require.Equal(t, 1, paused.removed)
+	require.Equal(t, 1, paused.removals)
 	require.Equal(t, structs.Incarnation(2), paused.node.Incarnation)
 	require.Empty(t, s.disagreement())
 }
@@ -240,7 +242,7 @@
 	require.Equal(t, structs.NodeSuspect, node.State)
 	s.run(3 * time.Second)
 	require.Empty(t, s.disagreement())
-	require.Zero(t, s.peers[4].removed)
+	require.Zero(t, s.peers[4].removals)
 }
 
 func mustMarshal(t *testing.T, m proto.Message) []byte {
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -7,67 +7,68 @@
 )
 
 const (
-	// bucketsPerRound bounds the buckets that are listed in one message.
-	bucketsPerRound = 32
-	// syncPause is the least time between two comparisons that a daemon starts.
-	syncPause = time.Second
+	// maxListedBuckets is the maximum number of buckets that one message lists.
+	maxListedBuckets = 32
+	// minSyncInterval is the minimum interval between two comparisons that a daemon
+	// starts.
+	minSyncInterval = time.Second
 )
 
-// receiveSync handles the anti-entropy parts of a message.
+// receiveSync processes the anti-entropy fields of a message.
 func (s *State) receiveSync(from *member, m *gossipv1.Message) {
-	if s.joined && m.Heartbeat > 0 && m.Digest != s.facts.root() {
-		s.compareWith(from)
+	if s.joined && m.Heartbeat > 0 && m.Digest != s.facts.rootDigest() {
+		s.startComparison(from)
 	}
 	if m.Sync == nil || !s.joined {
 		return
 	}
 	if len(m.Sync.Buckets) == bucketCount {
-		s.listDifferences(from, m.Sync.Buckets, m.Address != "")
+		s.sendListing(from, m.Sync.Buckets, m.Address != "")
 	}
 	if len(m.Sync.Listed) > 0 {
-		s.compareListing(from, m.Sync)
+		s.handleListing(from, m.Sync)
 	}
 	if len(m.Sync.Wanted) > 0 {
-		s.sendWanted(from, m.Sync.Wanted)
+		s.sendRequestedFacts(from, m.Sync.Wanted)
 	}
 }
 
-// compareWith starts a comparison by bucket once the facts have been quiet
-// long enough that the difference is no change still on its way.
-func (s *State) compareWith(peer *member) {
+// startComparison starts a comparison by bucket once the facts have been unchanged long
+// enough that the difference cannot be a change that is still being disseminated.
+func (s *State) startComparison(peer *member) {
 	if s.now.Before(s.nextSync) || s.now.Sub(s.lastChanged) < s.timing.SettleTime {
 		return
 	}
-	s.nextSync = s.now.Add(syncPause)
-	s.send(peer.node, &gossipv1.Message{Sync: &gossipv1.Sync{Buckets: s.facts.folded()}})
+	s.nextSync = s.now.Add(minSyncInterval)
+	s.send(peer.node, &gossipv1.Message{Sync: &gossipv1.Sync{Buckets: s.facts.bucketDigests()}})
 }
 
-// listDifferences answers with the index of buckets that differ, beginning at
-// a random one. A peer that greets may not know this daemon, which then
-// introduces itself along with it.
-func (s *State) listDifferences(to *member, theirs []uint32, introduce bool) {
-	ours := s.facts.folded()
-	sync := &gossipv1.Sync{Reply: true}
+// sendListing replies with listings of the buckets that differ, beginning at a random
+// one. If introduce is set, the peer may not know this daemon, so the reply contains
+// the fact about it.
+func (s *State) sendListing(to *member, theirs []uint32, introduce bool) {
+	ours := s.facts.bucketDigests()
+	listing := &gossipv1.Sync{Reply: true}
 	start := s.options.Random.IntN(bucketCount)
 	for i := range bucketCount {
 		bucket := (start + i) % bucketCount
 		if ours[bucket] == theirs[bucket] {
 			continue
 		}
-		sync.Listed = append(sync.Listed, uint32(bucket))
-		sync.Entries = append(sync.Entries, s.entries(bucket)...)
-		if len(sync.Listed) == bucketsPerRound {
+		listing.Listed = append(listing.Listed, uint32(bucket))
+		listing.Entries = append(listing.Entries, s.entries(bucket)...)
+		if len(listing.Listed) == maxListedBuckets {
 			break
 		}
 	}
-	if len(sync.Listed) == 0 {
+	if len(listing.Listed) == 0 {
 		return
 	}
-	answer := &gossipv1.Message{Sync: sync}
+	reply := &gossipv1.Message{Sync: listing}
 	if introduce {
-		answer.Facts = []*gossipv1.Fact{s.facts.get(nodeKey(s.options.Self.ID)).message()}
+		reply.Facts = []*gossipv1.Fact{s.facts.get(nodeKey(s.options.Self.ID)).proto()}
 	}
-	s.send(to.node, answer)
+	s.send(to.node, reply)
 }
 
 func (s *State) entries(bucket int) []*gossipv1.Entry {
@@ -79,27 +80,28 @@
 	return entries
 }
 
-// compareListing sends the peer what it lacks and asks for what is newer there.
-func (s *State) compareListing(peer *member, sync *gossipv1.Sync) {
-	theirs := map[uint64]version{}
+// handleListing sends the peer the facts that it lacks and requests those that are
+// newer there.
+func (s *State) handleListing(peer *member, listing *gossipv1.Sync) {
+	peerVersions := map[uint64]version{}
 	var wanted []uint64
-	for _, entry := range sync.Entries {
-		theirs[entry.Key] = version{entry.Major, entry.Minor}
-		held := s.facts.byHash(entry.Key)
-		if held == nil || theirs[entry.Key].newerThan(held.version) {
+	for _, entry := range listing.Entries {
+		peerVersions[entry.Key] = version{entry.Major, entry.Minor}
+		stored := s.facts.byHash(entry.Key)
+		if stored == nil || peerVersions[entry.Key].newerThan(stored.version) {
 			wanted = append(wanted, entry.Key)
 		}
 	}
 	var newer []*gossipv1.Fact
-	for _, bucket := range sync.Listed {
+	for _, bucket := range listing.Listed {
 		if bucket >= bucketCount {
 			continue
 		}
 		for _, hash := range sortedKeys(s.facts.buckets[bucket]) {
-			held := s.facts.buckets[bucket][hash]
-			listed, known := theirs[hash]
-			if !known && !held.retired || known && held.newerThan(listed) {
-				newer = append(newer, held.message())
+			stored := s.facts.buckets[bucket][hash]
+			listed, known := peerVersions[hash]
+			if !known && !stored.tombstone || known && stored.newerThan(listed) {
+				newer = append(newer, stored.proto())
 			}
 		}
 	}
@@ -107,18 +109,19 @@
 	if len(wanted) > 0 {
 		s.send(peer.node, &gossipv1.Message{Sync: &gossipv1.Sync{Wanted: wanted}})
 	}
-	if len(sync.Listed) == bucketsPerRound && len(wanted) > 0 {
-		// More buckets may differ: go on at once, at the peer that has them.
+	if len(listing.Listed) == maxListedBuckets && len(wanted) > 0 {
+		// More buckets may differ: continue immediately, at the peer that has newer
+		// facts.
 		s.nextSync = s.now
 		s.lastChanged = time.Time{}
 	}
 }
 
-func (s *State) sendWanted(to *member, wanted []uint64) {
+func (s *State) sendRequestedFacts(to *member, requested []uint64) {
 	var facts []*gossipv1.Fact
-	for _, hash := range wanted {
-		if held := s.facts.byHash(hash); held != nil {
-			facts = append(facts, held.message())
+	for _, hash := range requested {
+		if stored := s.facts.byHash(hash); stored != nil {
+			facts = append(facts, stored.proto())
 		}
 	}
 	s.sendFacts(to.node, facts)
--- a/internal/membership/topology.go
+++ b/internal/membership/topology.go
@@ -12,18 +12,19 @@
 const (
 	// watcherCount is the number of daemons that watch each daemon.
 	watcherCount = 3
-	// zoneRingCount is the number of rings over the zones; a zone links with
-	// its neighbours on each.
+	// zoneRingCount is the number of rings of zones; a zone is linked with its
+	// neighbours on each ring.
 	zoneRingCount = 2
-	// linksPerZonePair is the number of links that each two neighbouring zones have.
+	// linksPerZonePair is the number of links between two neighbouring zones.
 	linksPerZonePair = 2
 )
 
-// zonePair is a direction between two neighbouring zones.
+// zonePair is a direction between two zones.
 type zonePair struct{ from, to structs.ZoneName }
 
-// topology is who watches whom and which daemons link the zones. Every daemon
-// derives it alone from the members, so equal views give equal topologies.
+// topology defines which daemons watch each other and which daemons link the zones.
+// Every daemon derives it from its members alone, so equal views result in equal
+// topologies.
 type topology struct {
 	// watchers receive this daemon's heartbeats.
 	watchers []*member
@@ -31,39 +32,39 @@
 	watched []*member
 	// links are the peers in other zones that this daemon exchanges heartbeats with.
 	links []*member
-	// neighbours are watchers and links: facts are pushed to them.
+	// neighbours are the watchers and links, to which facts are pushed.
 	neighbours []*member
-	// zones lists the zones that have members, in order.
+	// zones lists the zones that have members, sorted.
 	zones []structs.ZoneName
-	// pairs maps each two neighbouring zones, in both directions, to the
-	// receiving ends of their links.
+	// pairs maps each pair of neighbouring zones, in both directions, to the receiving
+	// endpoints of their links.
 	pairs map[zonePair][]*member
-	// detours are zones without a path of links from here, with which this
-	// zone tries to link directly.
-	detours map[structs.ZoneName]bool
+	// fallbackZones are the zones without a path of regular links to this zone, with
+	// which this zone tries to link directly.
+	fallbackZones map[structs.ZoneName]bool
 }
 
-// topology returns the topology of the present members.
+// topology returns the topology of the current members.
 func (s *State) topology() *topology {
-	if s.derived == nil {
-		s.derived = s.deriveTopology()
+	if s.cachedTopology == nil {
+		s.cachedTopology = s.deriveTopology()
 		s.updateWatches()
 	}
-	return s.derived
+	return s.cachedTopology
 }
 
 func (s *State) deriveTopology() *topology {
-	byZone := s.byZone
-	t := &topology{pairs: map[zonePair][]*member{}, detours: map[structs.ZoneName]bool{}}
+	byZone := s.membersByZone
+	t := &topology{pairs: map[zonePair][]*member{}, fallbackZones: map[structs.ZoneName]bool{}}
 	for zone := range byZone {
 		t.zones = append(t.zones, zone)
 	}
 	slices.Sort(t.zones)
-	own := s.members[s.options.Self.ID]
-	t.watchers = s.watchersOf(own, byZone)
-	t.watched = s.watchedBy(own, byZone)
+	self := s.members[s.options.Self.ID]
+	t.watchers = s.watchersOf(self, byZone)
+	t.watched = s.watchedBy(self, byZone)
 	s.deriveLinks(t)
-	s.deriveDetours(t)
+	s.deriveFallbackLinks(t)
 	t.neighbours = slices.Clone(t.watchers)
 	for _, link := range t.links {
 		if !slices.Contains(t.neighbours, link) {
@@ -73,26 +74,25 @@
 	return t
 }
 
-// enter and exit keep the members that were not removed by zone. The topology
-// is derived anew, but only for the zone that changed.
-func (s *State) enter(m *member) {
-	s.byZone[m.node.Zone] = append(s.byZone[m.node.Zone], m)
-	s.forgetEnds(m.node.Zone)
+// addToZone and removeFromZone maintain membersByZone. They invalidate the topology,
+// but the link endpoints only of the changed zone.
+func (s *State) addToZone(m *member) {
+	s.membersByZone[m.node.Zone] = append(s.membersByZone[m.node.Zone], m)
+	s.invalidateEndpoints(m.node.Zone)
 }
 
-func (s *State) exit(m *member, zone structs.ZoneName) {
-	rest := slices.DeleteFunc(s.byZone[zone], func(other *member) bool { return other == m })
-	s.byZone[zone] = rest
-	if len(rest) == 0 {
-		delete(s.byZone, zone)
+func (s *State) removeFromZone(m *member, zone structs.ZoneName) {
+	remaining := slices.DeleteFunc(s.membersByZone[zone], func(other *member) bool { return other == m })
+	s.membersByZone[zone] = remaining
+	if len(remaining) == 0 {
+		delete(s.membersByZone, zone)
 	}
-	s.forgetEnds(zone)
+	s.invalidateEndpoints(zone)
 }
 
-// watchersOf returns the daemons that watch the subject: its successors on
-// several rings of its zone, all different, so that a zone's watch graph is a
-// union of random cycles. A zone with too few members borrows watchers from
-// other zones.
+// watchersOf returns the daemons that watch the subject: its successors on several
+// rings of its zone, all different, so that the watch graph of a zone is a union of
+// random cycles. If the zone has too few members, daemons of other zones are added.
 func (s *State) watchersOf(subject *member, byZone map[structs.ZoneName][]*member) []*member {
 	var watchers []*member
 	zone := byZone[subject.node.Zone]
@@ -102,31 +102,31 @@
 		}
 	}
 	if len(watchers) < watcherCount {
-		watchers = s.borrowWatchers(subject, watchers)
+		watchers = s.addWatchersFromOtherZones(subject, watchers)
 	}
 	return watchers
 }
 
-// successor returns the next member after the subject on the ring that is not
-// yet taken; nil if there is none.
-func successor(subject *member, zone []*member, ring int, taken []*member) *member {
-	var best *member
-	var bestDistance uint64
+// successor returns the next member after the subject on the ring that is not excluded;
+// nil if there is none.
+func successor(subject *member, zone []*member, ring int, excluded []*member) *member {
+	var nearest *member
+	var minDistance uint64
 	for _, candidate := range zone {
-		if candidate == subject || slices.Contains(taken, candidate) {
+		if candidate == subject || slices.Contains(excluded, candidate) {
 			continue
 		}
-		distance := candidate.ring[ring] - subject.ring[ring]
-		if best == nil || distance < bestDistance {
-			best, bestDistance = candidate, distance
+		distance := candidate.ringPositions[ring] - subject.ringPositions[ring]
+		if nearest == nil || distance < minDistance {
+			nearest, minDistance = candidate, distance
 		}
 	}
-	return best
+	return nearest
 }
 
-// borrowWatchers fills up with daemons of other zones, by rendezvous hash, of
-// different zones where there are enough.
-func (s *State) borrowWatchers(subject *member, watchers []*member) []*member {
+// addWatchersFromOtherZones adds daemons of other zones by rendezvous hash until there
+// are watcherCount watchers. They are of different zones if possible.
+func (s *State) addWatchersFromOtherZones(subject *member, watchers []*member) []*member {
 	var candidates []*member
 	for _, m := range s.members {
 		if m.node.State != structs.NodeDead && m.node.Zone != subject.node.Zone {
@@ -134,17 +134,17 @@
 		}
 	}
 	rendezvousSort(candidates, string(subject.node.ID))
-	used := map[structs.ZoneName]bool{}
-	for _, different := range []bool{true, false} {
+	usedZones := map[structs.ZoneName]bool{}
+	for _, differentZone := range []bool{true, false} {
 		for _, candidate := range candidates {
 			if len(watchers) == watcherCount {
 				return watchers
 			}
-			if slices.Contains(watchers, candidate) || different && used[candidate.node.Zone] {
+			if slices.Contains(watchers, candidate) || differentZone && usedZones[candidate.node.Zone] {
 				continue
 			}
 			watchers = append(watchers, candidate)
-			used[candidate.node.Zone] = true
+			usedZones[candidate.node.Zone] = true
 		}
 	}
 	return watchers
@@ -157,7 +157,7 @@
 		if zone != watcher.node.Zone && len(members) > watcherCount {
 			continue
 		}
-		for _, subject := range candidatesFor(watcher, members) {
+		for _, subject := range possibleSubjects(watcher, members) {
 			if subject != watcher && slices.Contains(s.watchersOf(subject, byZone), watcher) {
 				watched = append(watched, subject)
 			}
@@ -167,51 +167,51 @@
 	return watched
 }
 
-// candidatesFor returns the members that can have the watcher among their
+// possibleSubjects returns the members that can have the watcher among their
 // successors: in a large zone these are its nearest predecessors on each ring.
-func candidatesFor(watcher *member, zone []*member) []*member {
+func possibleSubjects(watcher *member, zone []*member) []*member {
 	const reach = watcherCount
 	if len(zone) <= watcherCount*reach {
 		return zone
 	}
 	var candidates []*member
 	for ring := 0; ring < watcherCount; ring++ {
-		for _, near := range predecessors(watcher, zone, ring, reach) {
-			if !slices.Contains(candidates, near) {
-				candidates = append(candidates, near)
+		for _, predecessor := range predecessors(watcher, zone, ring, reach) {
+			if !slices.Contains(candidates, predecessor) {
+				candidates = append(candidates, predecessor)
 			}
 		}
 	}
 	return candidates
 }
 
-// predecessors returns the members nearest before the watcher on the ring.
+// predecessors returns the nearest members before the watcher on the ring.
 func predecessors(watcher *member, zone []*member, ring, count int) []*member {
-	distance := func(m *member) uint64 { return watcher.ring[ring] - m.ring[ring] }
+	distance := func(m *member) uint64 { return watcher.ringPositions[ring] - m.ringPositions[ring] }
 	nearest := make([]*member, 0, count+1)
 	for _, m := range zone {
-		at := len(nearest)
-		for at > 0 && distance(m) < distance(nearest[at-1]) {
-			at--
+		position := len(nearest)
+		for position > 0 && distance(m) < distance(nearest[position-1]) {
+			position--
 		}
-		if m != watcher && at < count {
-			nearest = slices.Insert(nearest, at, m)
+		if m != watcher && position < count {
+			nearest = slices.Insert(nearest, position, m)
 			nearest = nearest[:min(count, len(nearest))]
 		}
 	}
 	return nearest
 }
 
-// rendezvousSort orders members by the hash of the key and their ids.
+// rendezvousSort sorts members by the hash of the key and their IDs.
 func rendezvousSort(members []*member, key string) {
 	salt := xxhash.Sum64String(key)
-	slices.SortFunc(members, func(a, b *member) int { return rendezvousOrder(a, b, salt) })
+	slices.SortFunc(members, func(a, b *member) int { return compareRendezvous(a, b, salt) })
 }
 
 func byID(a, b *member) int { return cmp.Compare(a.node.ID, b.node.ID) }
 
-// mix is a bijection that spreads near values apart.
-func mix(value uint64) uint64 {
+// mixHash is a bijection that maps similar values to dissimilar ones.
+func mixHash(value uint64) uint64 {
 	value ^= value >> 30
 	value *= 0xbf58476d1ce4e5b9
 	value ^= value >> 27
@@ -219,7 +219,7 @@
 	return value ^ value>>31
 }
 
-// ringPosition places a name on a ring.
+// ringPosition returns the position of a name on a ring.
 func ringPosition(name string, ring int) uint64 {
-	return mix(xxhash.Sum64String(name) + uint64(ring)*0x9e3779b97f4a7c15)
+	return mixHash(xxhash.Sum64String(name) + uint64(ring)*0x9e3779b97f4a7c15)
 }
--- a/internal/membership/zone.go
+++ b/internal/membership/zone.go
@@ -11,184 +11,186 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// link follows one peer in another zone that this daemon exchanges heartbeats with.
+// link monitors one peer in another zone with which this daemon exchanges heartbeats.
 type link struct {
-	heard time.Time
-	cut   bool
+	lastHeard time.Time
+	down      bool
 }
 
-// Reports about links are facts "l/<from zone>/<to zone>/<witness>", whose
-// value is one of these.
+// Link reports are facts with the key "l/<from zone>/<to zone>/<witness>" and one of
+// the following values.
 const (
-	linkCut  = "cut"
-	linkOpen = "open"
+	linkDown = "cut"
+	linkUp   = "open"
 )
 
 func linkKey(pair zonePair, witness structs.NodeID) string {
 	return linkPrefix + string(pair.from) + "/" + string(pair.to) + "/" + string(witness)
 }
 
-// updateLinks follows the topology.
+// updateLinks updates the links after a change of the topology.
 func (s *State) updateLinks() {
-	wanted := map[structs.NodeID]bool{}
-	for _, peer := range s.derived.links {
-		wanted[peer.node.ID] = true
-		if _, known := s.links[peer.node.ID]; !known {
+	linked := map[structs.NodeID]bool{}
+	for _, peer := range s.cachedTopology.links {
+		linked[peer.node.ID] = true
+		if _, exists := s.links[peer.node.ID]; !exists {
 			s.links[peer.node.ID] = s.newLink(peer)
 		}
 	}
 	for id := range s.links {
-		if !wanted[id] {
+		if !linked[id] {
 			delete(s.links, id)
 		}
 	}
-	s.checkZones()
+	s.updateReachability()
 }
 
-// newLink takes a regular link for open until it is silent for long, and a
-// detour for cut until something comes.
+// newLink returns a new link. A regular link counts as up until it times out, a
+// fallback link as down until the first message arrives.
 func (s *State) newLink(peer *member) *link {
-	if s.derived.detours[peer.node.Zone] {
+	if s.cachedTopology.fallbackZones[peer.node.Zone] {
 		return &link{}
 	}
-	return &link{heard: s.now}
+	return &link{lastHeard: s.now}
 }
 
-func (s *State) linkAlive(from *member) {
+func (s *State) recordLinkMessage(from *member) {
 	if l, linked := s.links[from.node.ID]; linked {
-		l.heard = s.now
+		l.lastHeard = s.now
 	}
 }
 
-// checkLinks reports, by zone, when all of this daemon's links from the zone
-// fell silent or one came back.
+// checkLinks reports, for each zone, whether all of this daemon's links from the zone
+// are down.
 func (s *State) checkLinks() {
-	silent := map[structs.ZoneName]bool{}
-	for _, peer := range s.derived.links {
+	down := map[structs.ZoneName]bool{}
+	for _, peer := range s.cachedTopology.links {
 		l := s.links[peer.node.ID]
-		l.cut = s.now.Sub(l.heard) > s.timing.LinkTimeout
+		l.down = s.now.Sub(l.lastHeard) > s.timing.LinkTimeout
 		zone := peer.node.Zone
-		if before, known := silent[zone]; known {
-			silent[zone] = before && l.cut
+		if allDown, exists := down[zone]; exists {
+			down[zone] = allDown && l.down
 		} else {
-			silent[zone] = l.cut
+			down[zone] = l.down
 		}
 	}
-	for _, zone := range slices.Sorted(maps.Keys(silent)) {
-		s.reportLink(zone, silent[zone])
+	for _, zone := range slices.Sorted(maps.Keys(down)) {
+		s.reportLink(zone, down[zone])
 	}
 }
 
-func (s *State) reportLink(from structs.ZoneName, cut bool) {
+func (s *State) reportLink(from structs.ZoneName, down bool) {
 	key := linkKey(zonePair{from, s.options.Self.Zone}, s.options.Self.ID)
-	held := s.facts.get(key)
-	value := linkOpen
-	if cut {
-		value = linkCut
+	stored := s.facts.get(key)
+	value := linkUp
+	if down {
+		value = linkDown
 	}
-	unsaid := held == nil && !cut && !s.derived.detours[from]
-	if unsaid || held != nil && string(held.value) == value && held.major >= uint64(s.options.Self.Incarnation) {
+	isImplicit := stored == nil && !down && !s.cachedTopology.fallbackZones[from]
+	if isImplicit || stored != nil && string(stored.value) == value && stored.major >= uint64(s.options.Self.Incarnation) {
 		return
 	}
-	next := version{major: uint64(s.options.Self.Incarnation), minor: 1}
-	if held != nil {
-		next.major, next.minor = max(next.major, held.major), held.minor+1
+	newVersion := version{major: uint64(s.options.Self.Incarnation), minor: 1}
+	if stored != nil {
+		newVersion.major, newVersion.minor = max(newVersion.major, stored.major), stored.minor+1
 	}
-	s.learn(&gossipv1.Fact{Key: key, Major: next.major, Minor: next.minor, Value: []byte(value)}, "")
+	s.learnFact(&gossipv1.Fact{Key: key, Major: newVersion.major, Minor: newVersion.minor, Value: []byte(value)}, "")
 }
 
-func (s *State) acceptLink(f *fact) bool {
+func (s *State) acceptLinkFact(f *fact) bool {
 	if strings.Count(f.key, "/") != 3 {
 		return false
 	}
-	s.zonesStale = true
+	s.reachabilityStale = true
 	return true
 }
 
-// checkZones derives from the reports which zones no path of working links
-// leads from, and reports the members there as suspects. They are not removed:
-// a zone that was cut off comes back whole.
-func (s *State) checkZones() {
-	s.zonesStale = false
-	regular := s.reachedZones(nil)
-	s.updatePathless(regular)
-	reached := s.reachedZones(regular)
-	for _, zone := range s.derived.zones {
-		if cut := !reached[zone]; cut != s.cut[zone] {
-			s.setCut(zone, cut)
+// updateReachability derives from the link reports from which zones no path of working
+// links leads here, and marks their members as suspected. They are not removed, because
+// a partitioned zone usually recovers as a whole.
+func (s *State) updateReachability() {
+	s.reachabilityStale = false
+	reachableRegularly := s.reachableZones(nil)
+	s.updateNoRegularPath(reachableRegularly)
+	reachable := s.reachableZones(reachableRegularly)
+	for _, zone := range s.cachedTopology.zones {
+		if unreachable := !reachable[zone]; unreachable != s.unreachableZones[zone] {
+			s.setUnreachable(zone, unreachable)
 		}
 	}
 }
 
-func (s *State) updatePathless(regular map[structs.ZoneName]bool) {
-	pathless := map[structs.ZoneName]bool{}
-	for _, zone := range s.derived.zones {
-		if !regular[zone] {
-			pathless[zone] = true
+func (s *State) updateNoRegularPath(reachableRegularly map[structs.ZoneName]bool) {
+	noRegularPath := map[structs.ZoneName]bool{}
+	for _, zone := range s.cachedTopology.zones {
+		if !reachableRegularly[zone] {
+			noRegularPath[zone] = true
 		}
 	}
-	if !maps.Equal(pathless, s.pathless) {
-		s.pathless = pathless
-		s.detoursStale = true
+	if !maps.Equal(noRegularPath, s.noRegularPath) {
+		s.noRegularPath = noRegularPath
+		s.fallbackLinksStale = true
 	}
 }
 
-func (s *State) setCut(zone structs.ZoneName, cut bool) {
+func (s *State) setUnreachable(zone structs.ZoneName, unreachable bool) {
 	kind := ZoneReachable
-	delete(s.cut, zone)
-	if cut {
+	delete(s.unreachableZones, zone)
+	if unreachable {
 		kind = ZoneUnreachable
-		s.cut[zone] = true
+		s.unreachableZones[zone] = true
 	}
 	s.emit(Event{Kind: kind, Zone: zone})
 	for _, id := range sortedKeys(s.members) {
 		if m := s.members[id]; m.node.Zone == zone {
-			s.report(m, false)
+			s.reportNode(m, false)
 		}
 	}
 }
 
-// reachedZones walks the working links backwards from this daemon's zone. With
-// the zones that regular links reach it takes detours from the others as well.
-func (s *State) reachedZones(regular map[structs.ZoneName]bool) map[structs.ZoneName]bool {
-	reached := map[structs.ZoneName]bool{s.options.Self.Zone: true}
+// reachableZones returns the zones from which a path of working links leads to this
+// daemon's zone. If regular is given, which is the result for regular links alone,
+// fallback links from the remaining zones are followed as well.
+func (s *State) reachableZones(regular map[structs.ZoneName]bool) map[structs.ZoneName]bool {
+	reachable := map[structs.ZoneName]bool{s.options.Self.Zone: true}
 	frontier := []structs.ZoneName{s.options.Self.Zone}
 	for len(frontier) > 0 {
 		to := frontier[0]
 		frontier = frontier[1:]
-		for _, from := range s.derived.zones {
-			if reached[from] {
+		for _, from := range s.cachedTopology.zones {
+			if reachable[from] {
 				continue
 			}
 			pair := zonePair{from, to}
-			_, linked := s.derived.pairs[pair]
-			detour := regular != nil && !regular[from] && !linked && s.detourOpen(pair)
-			if linked && !s.pairCut(pair) || detour {
-				reached[from] = true
+			_, linked := s.cachedTopology.pairs[pair]
+			isFallback := regular != nil && !regular[from] && !linked && s.isFallbackLinkUp(pair)
+			if linked && !s.areLinksDown(pair) || isFallback {
+				reachable[from] = true
 				frontier = append(frontier, from)
 			}
 		}
 	}
-	return reached
+	return reachable
 }
 
-// detourOpen reports whether a receiving end of a detour says that it hears.
-func (s *State) detourOpen(pair zonePair) bool {
-	named := zonePair{min(pair.from, pair.to), max(pair.from, pair.to)}
-	for _, witness := range s.endsOf(pair.to, named) {
-		held := s.facts.get(linkKey(pair, witness.node.ID))
-		if held != nil && string(held.value) == linkOpen && held.major >= uint64(witness.node.Incarnation) {
+// isFallbackLinkUp reports whether a receiving endpoint of a fallback link reports it
+// up.
+func (s *State) isFallbackLinkUp(pair zonePair) bool {
+	orderedPair := zonePair{min(pair.from, pair.to), max(pair.from, pair.to)}
+	for _, witness := range s.endpointsOf(pair.to, orderedPair) {
+		stored := s.facts.get(linkKey(pair, witness.node.ID))
+		if stored != nil && string(stored.value) == linkUp && stored.major >= uint64(witness.node.Incarnation) {
 			return true
 		}
 	}
 	return false
 }
 
-// pairCut reports whether every receiving end reports the pair's links cut.
-func (s *State) pairCut(pair zonePair) bool {
-	for _, witness := range s.derived.pairs[pair] {
-		held := s.facts.get(linkKey(pair, witness.node.ID))
-		if held == nil || string(held.value) != linkCut || held.major < uint64(witness.node.Incarnation) {
+// areLinksDown reports whether every receiving endpoint reports the pair's links down.
+func (s *State) areLinksDown(pair zonePair) bool {
+	for _, witness := range s.cachedTopology.pairs[pair] {
+		stored := s.facts.get(linkKey(pair, witness.node.ID))
+		if stored == nil || string(stored.value) != linkDown || stored.major < uint64(witness.node.Incarnation) {
 			return false
 		}
 	}
