--- a/internal/program/apply_call.go
+++ b/internal/program/apply_call.go
@@ -5,119 +5,123 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Failure types that the machine itself gives to calls; the types of
-// *failure.ToolOutcomeUnknown, *failure.CallCancelled and *failure.ProgramOver.
+// Failure types that the machine itself assigns to calls: those of
+// *failure.ToolOutcomeUnknown, *failure.CallCancelled and
+// *failure.ProgramOver.
 const (
 	failureOutcomeUnknown = "outcome_unknown"
 	failureCallCancelled  = "call_cancelled"
 	failureProgramEnded   = "program_ended"
 )
 
-// startable returns the call of that number when an attempt of it may start.
-func (p *program) startable(number structs.CallNumber) *call {
-	issued := p.current()
-	if p.ended || issued == nil || issued.accepted.GetNumber() != uint32(number) || issued.state != Accepted {
+// startableCall returns the call with this number if an attempt of it may
+// start, or nil.
+func (p *program) startableCall(number structs.CallNumber) *call {
+	c := p.currentCall()
+	if p.ended || c == nil || c.acceptedRecord.GetNumber() != uint32(number) || c.state != Accepted {
 		return nil
 	}
-	return issued
+	return c
 }
 
-func (p *program) applyStarted(at int64, started *programv1.DispatchStarted) bool {
-	issued := p.startable(structs.CallNumber(started.GetNumber()))
-	reserved := amountFrom(started.GetReserved())
-	if issued == nil || started.GetAttempt() != issued.attempt+1 || reserved.Negative() || !reserved.Within(p.left()) {
+func (p *program) applyStarted(unixMs int64, started *programv1.DispatchStarted) bool {
+	c := p.startableCall(structs.CallNumber(started.GetNumber()))
+	reserved := amountFromProto(started.GetReserved())
+	if c == nil || started.GetAttempt() != c.attempt+1 || reserved.Negative() || !reserved.Within(p.remaining()) {
 		return false
 	}
-	issued.state = Started
-	issued.attempt = started.GetAttempt()
-	issued.started = started
-	issued.startedAt = at
-	issued.dispatchKey = started.GetDispatchKey()
+	c.state = Started
+	c.attempt = started.GetAttempt()
+	c.startedRecord = started
+	c.startedAt = unixMs
+	c.dispatchKey = started.GetDispatchKey()
 	p.reserved = reserved
-	p.touch(at)
+	p.recordActivity(unixMs)
 	return true
 }
 
-// underWay returns the call when exactly this attempt of it is started.
-func (p *program) underWay(number, attempt uint32) *call {
-	issued := p.inFlight()
-	if issued == nil || issued.accepted.GetNumber() != number || issued.attempt != attempt {
+// callWithStartedAttempt returns the call if exactly this attempt of it is
+// started, or nil.
+func (p *program) callWithStartedAttempt(number, attempt uint32) *call {
+	c := p.startedCall()
+	if c == nil || c.acceptedRecord.GetNumber() != number || c.attempt != attempt {
 		return nil
 	}
-	return issued
+	return c
 }
 
-// settle replaces the reservation by what the attempt cost, which is capped at
-// the reservation, and takes the call out of Started.
-func (p *program) settle(issued *call, next CallState, spent structs.Amount) {
-	spent = capped(spent, p.reserved)
+// settleAttempt replaces the reservation with the cost of the attempt, limited
+// to the reservation, and moves the call from Started to the next state.
+func (p *program) settleAttempt(c *call, next CallState, spent structs.Amount) {
+	spent = clampAmount(spent, p.reserved)
 	p.spent = p.spent.Plus(spent)
-	issued.spent = issued.spent.Plus(spent)
+	c.spent = c.spent.Plus(spent)
 	p.reserved = structs.Amount{}
-	issued.started = nil
-	issued.state = next
+	c.startedRecord = nil
+	c.state = next
 }
 
-func (p *program) applyFinished(at int64, finished *programv1.DispatchFinished) bool {
-	issued := p.underWay(finished.GetNumber(), finished.GetAttempt())
-	if issued == nil {
+func (p *program) applyFinished(unixMs int64, finished *programv1.DispatchFinished) bool {
+	c := p.callWithStartedAttempt(finished.GetNumber(), finished.GetAttempt())
+	if c == nil {
 		return false
 	}
 	state := Finished
 	if finished.GetFailureType() != "" {
 		state = Failed
 	}
-	p.settle(issued, state, amountFrom(finished.GetSpent()))
-	issued.answer = finished.GetAnswer()
-	issued.promptTokens = finished.GetPromptTokens()
-	issued.answerTokens = finished.GetAnswerTokens()
-	issued.reusedTokens = finished.GetReusedTokens()
-	issued.failureType = finished.GetFailureType()
-	issued.failureDetail = finished.GetFailureDetail()
-	if state == Finished && issued.accepted.GetKind() == programv1.CallKind_CALL_KIND_MODEL {
-		p.historyTokens = issued.promptTokens + issued.answerTokens
+	p.settleAttempt(c, state, amountFromProto(finished.GetSpent()))
+	c.answer = finished.GetAnswer()
+	c.promptTokens = finished.GetPromptTokens()
+	c.answerTokens = finished.GetAnswerTokens()
+	c.reusedTokens = finished.GetReusedTokens()
+	c.failureType = finished.GetFailureType()
+	c.failureDetail = finished.GetFailureDetail()
+	if state == Finished && c.acceptedRecord.GetKind() == programv1.CallKind_CALL_KIND_MODEL {
+		p.historyTokens = c.promptTokens + c.answerTokens
 	}
-	p.touch(at)
-	p.advance()
+	p.recordActivity(unixMs)
+	p.advancePositions()
 	return true
 }
 
-func (p *program) applyUnknown(at int64, unknown *programv1.DispatchUnknown) bool {
-	issued := p.underWay(unknown.GetNumber(), unknown.GetAttempt())
-	if issued == nil {
+func (p *program) applyOutcomeUnknown(unixMs int64, unknown *programv1.DispatchUnknown) bool {
+	c := p.callWithStartedAttempt(unknown.GetNumber(), unknown.GetAttempt())
+	if c == nil {
 		return false
 	}
-	p.settle(issued, OutcomeUnknown, p.reserved)
-	issued.failureType = failureOutcomeUnknown
-	issued.failureDetail = unknown.GetDetail()
-	p.touch(at)
-	p.advance()
+	p.settleAttempt(c, OutcomeUnknown, p.reserved)
+	c.failureType = failureOutcomeUnknown
+	c.failureDetail = unknown.GetDetail()
+	p.recordActivity(unixMs)
+	p.advancePositions()
 	return true
 }
 
-func (p *program) applyNotRun(at int64, notRun *programv1.DispatchNotRun) bool {
+func (p *program) applyNotRun(unixMs int64, notRun *programv1.DispatchNotRun) bool {
 	if notRun.GetAttempt() == 0 {
-		return p.applyRefused(at, notRun)
+		return p.applyRefused(unixMs, notRun)
 	}
-	issued := p.underWay(notRun.GetNumber(), notRun.GetAttempt())
-	if issued == nil || (notRun.GetGivenUp() && !issued.repeatable()) {
+	c := p.callWithStartedAttempt(notRun.GetNumber(), notRun.GetAttempt())
+	if c == nil || (notRun.GetGivenUp() && !c.repeatable()) {
 		return false
 	}
-	issued.mayHaveRun = issued.mayHaveRun || notRun.GetGivenUp()
-	p.settle(issued, p.stateAfterNotRun(issued, notRun.GetFinal()), amountFrom(notRun.GetSpent()))
-	if issued.state.Final() {
-		issued.failureType = notRun.GetFailureType()
-		issued.failureDetail = notRun.GetFailureDetail()
+	c.mayHaveRun = c.mayHaveRun || notRun.GetGivenUp()
+	p.settleAttempt(c, p.stateAfterNotRun(c, notRun.GetFinal()), amountFromProto(notRun.GetSpent()))
+	if c.state.Final() {
+		c.failureType = notRun.GetFailureType()
+		c.failureDetail = notRun.GetFailureDetail()
 	}
-	p.touch(at)
-	p.advance()
+	p.recordActivity(unixMs)
+	p.advancePositions()
 	return true
 }
 
-// stateAfterNotRun says what becomes of a call whose attempt was taken back.
-func (p *program) stateAfterNotRun(issued *call, final bool) CallState {
+// stateAfterNotRun returns the state of a call whose attempt did not run or
+// was given up.
+func (p *program) stateAfterNotRun(c *call, final bool) CallState {
 	switch {
-	case issued.abandon || p.ended:
+	case c.abandonRequested || p.ended:
 		return Cancelled
 	case final:
 		return Refused
@@ -126,40 +130,41 @@
 	}
 }
 
-// applyRefused ends a call that no attempt of is under way.
-func (p *program) applyRefused(at int64, notRun *programv1.DispatchNotRun) bool {
-	issued := p.call(structs.CallNumber(notRun.GetNumber()))
-	if issued == nil || issued.state != Accepted || !notRun.GetFinal() {
+// applyRefused ends a call that has no started attempt.
+func (p *program) applyRefused(unixMs int64, notRun *programv1.DispatchNotRun) bool {
+	c := p.call(structs.CallNumber(notRun.GetNumber()))
+	if c == nil || c.state != Accepted || !notRun.GetFinal() {
 		return false
 	}
-	issued.state = Refused
-	issued.failureType = notRun.GetFailureType()
-	issued.failureDetail = notRun.GetFailureDetail()
-	p.touch(at)
-	p.advance()
+	c.state = Refused
+	c.failureType = notRun.GetFailureType()
+	c.failureDetail = notRun.GetFailureDetail()
+	p.recordActivity(unixMs)
+	p.advancePositions()
 	return true
 }
 
-func (p *program) applyCancelled(at int64, cancelled *programv1.CallCancelled) bool {
-	issued := p.call(structs.CallNumber(cancelled.GetNumber()))
-	if issued == nil || !p.cancel(issued, failureCallCancelled) {
+func (p *program) applyCancelled(unixMs int64, cancelled *programv1.CallCancelled) bool {
+	c := p.call(structs.CallNumber(cancelled.GetNumber()))
+	if c == nil || !p.cancel(c, failureCallCancelled) {
 		return false
 	}
-	p.touch(at)
-	p.advance()
+	p.recordActivity(unixMs)
+	p.advancePositions()
 	return true
 }
 
-// cancel ends a call that is not started and marks one that is to be abandoned.
-// A started call that is not repeatable runs to its end.
-func (p *program) cancel(issued *call, failureType string) bool {
+// cancel ends a call that is not started and requests abandonment of a started
+// repeatable call. A started call that is not repeatable runs to its end. It
+// reports whether the call changed.
+func (p *program) cancel(c *call, failureType string) bool {
 	switch {
-	case issued.state == Accepted:
-		issued.state = Cancelled
-		issued.failureType = failureType
+	case c.state == Accepted:
+		c.state = Cancelled
+		c.failureType = failureType
 		return true
-	case issued.state == Started && issued.repeatable() && !issued.abandon:
-		issued.abandon = true
+	case c.state == Started && c.repeatable() && !c.abandonRequested:
+		c.abandonRequested = true
 		return true
 	default:
 		return false
--- a/internal/program/apply_end.go
+++ b/internal/program/apply_end.go
@@ -8,23 +8,24 @@
 )
 
 // applyEnded ends a program and, in the same step, all its sub-agents.
-func (m *Machine) applyEnded(p *program, at int64, ended *programv1.ProgramEnded) bool {
+func (m *Machine) applyEnded(p *program, unixMs int64, ended *programv1.ProgramEnded) bool {
 	if p.ended {
 		return false
 	}
 	cause := ended.GetCause()
-	for _, member := range m.family(p) {
-		m.endOne(member, at, cause)
+	for _, member := range m.withOpenDescendants(p) {
+		m.endProgram(member, unixMs, cause)
 		cause = CauseParent
 	}
 	return true
 }
 
-// family returns the program and every living program below it, parents first.
-func (m *Machine) family(p *program) []*program {
+// withOpenDescendants returns the program and all its descendants that have
+// not ended, parents first.
+func (m *Machine) withOpenDescendants(p *program) []*program {
 	members := []*program{p}
 	for next := 0; next < len(members); next++ {
-		for _, id := range sortedChildren(members[next]) {
+		for _, id := range sortedChildIDs(members[next]) {
 			if child, found := m.programs[id]; found && !child.ended {
 				members = append(members, child)
 			}
@@ -33,7 +34,7 @@
 	return members
 }
 
-func sortedChildren(p *program) []structs.ProgramID {
+func sortedChildIDs(p *program) []structs.ProgramID {
 	ids := make([]structs.ProgramID, 0, len(p.children))
 	for id := range p.children {
 		ids = append(ids, id)
@@ -42,24 +43,24 @@
 	return ids
 }
 
-func (m *Machine) endOne(p *program, at int64, cause string) {
+func (m *Machine) endProgram(p *program, unixMs int64, cause string) {
 	p.ended = true
 	p.cause = cause
-	p.endedAt = at
-	p.touch(at)
-	for _, issued := range p.calls[p.cursor:] {
-		if issued != nil {
-			p.cancel(issued, failureProgramEnded)
+	p.endedAt = unixMs
+	p.recordActivity(unixMs)
+	for _, c := range p.calls[p.cursor:] {
+		if c != nil {
+			p.cancel(c, failureProgramEnded)
 		}
 	}
-	p.advance()
+	p.advancePositions()
 	m.dropUnopenedGrants(p)
 	m.settleProgram(p)
 	m.reschedule(p)
 }
 
-// dropUnopenedGrants takes back what was granted to children that were never
-// opened; after the end none can be.
+// dropUnopenedGrants takes back the grants of children that were never opened.
+// They cannot be opened once the program has ended.
 func (m *Machine) dropUnopenedGrants(p *program) {
 	for id, grant := range p.children {
 		if _, opened := m.programs[id]; !opened {
@@ -69,34 +70,34 @@
 	}
 }
 
-// settleAfter settles the program when the change before it made that possible.
-func (m *Machine) settleAfter(p *program, changed bool) bool {
+// settleIfChanged settles the program if it changed and can be settled now.
+func (m *Machine) settleIfChanged(p *program, changed bool) bool {
 	if changed {
 		m.settleProgram(p)
 	}
 	return changed
 }
 
-// settleProgram returns what is left of an ended program's budget to its
-// parent, once, when nothing of the program can spend any more. A parent that
-// has ended too passes it on.
+// settleProgram returns the rest of an ended program's budget to its parent,
+// once, when the program and its sub-agents can spend nothing more. If the
+// parent has ended too, the parent is settled in turn.
 func (m *Machine) settleProgram(p *program) {
-	for p.ended && !p.settled && p.inFlight() == nil && len(p.children) == 0 {
+	for p.ended && !p.settled && p.startedCall() == nil && len(p.children) == 0 {
 		p.settled = true
 		m.reschedule(p)
 		parent, found := m.programs[p.parent()]
 		if !found {
 			return
 		}
-		parent.takeBack(p)
-		parent.touch(p.activity)
+		parent.reclaimGrant(p)
+		parent.recordActivity(p.lastActivity)
 		m.reschedule(parent)
 		p = parent
 	}
 }
 
-// takeBack replaces the child's grant by what the child spent.
-func (p *program) takeBack(child *program) {
+// reclaimGrant replaces the child's grant with what the child spent.
+func (p *program) reclaimGrant(child *program) {
 	grant, found := p.children[child.id]
 	if !found {
 		return
--- a/internal/program/bench_test.go
+++ b/internal/program/bench_test.go
@@ -16,8 +16,9 @@
 
 var historySizes = []int{1_000, 10_000, 100_000, 840_000}
 
-// prose returns text of that many tokens that compresses about as speech does.
-func prose(tokens int) []byte {
+// sampleText returns text of this many tokens with about the compression ratio
+// of natural language.
+func sampleText(tokens int) []byte {
 	words := []string{"cabinet", "door", "release", "the", "pack", "is", "stuck", "rider", "please", "nomination"}
 	random := rand.New(rand.NewPCG(1, 2))
 	var text []byte
@@ -27,17 +28,18 @@
 	return text[:tokens*bytesPerToken]
 }
 
-// driver commits decisions at once and counts the bytes of their records.
-type driver struct {
+// benchDriver commits decisions immediately and counts the bytes of their
+// records.
+type benchDriver struct {
 	machine *Machine
 	index   uint64
 	bytes   int
-	// entries are kept where keep is set.
-	keep    bool
-	entries [][]byte
+	// entries holds the committed entries if keepEntries is set.
+	keepEntries bool
+	entries     [][]byte
 }
 
-func (d *driver) commit(decision Decision, err error) {
+func (d *benchDriver) commit(decision Decision, err error) {
 	if err != nil {
 		panic(err)
 	}
@@ -47,21 +49,21 @@
 	}
 	d.index++
 	d.bytes += len(data)
-	if d.keep {
+	if d.keepEntries {
 		d.entries = append(d.entries, data)
 	}
 	d.machine.Apply(d.index, data)
 }
 
-func (d *driver) open(key string) structs.ProgramID {
+func (d *benchDriver) open(key string) structs.ProgramID {
 	id := structs.NewProgramID(testDomain, testTenant, key)
 	huge := structs.Amount{Tokens: 1 << 50, CostMicros: 1 << 50, Turns: 1 << 50, Milliseconds: 1 << 50}
 	d.commit(d.machine.Open(testStart, OpenRequest{ID: id, Tenant: testTenant, Budget: huge, IdleTimeout: 1e5 * time.Hour}))
 	return id
 }
 
-// turn carries one call through: accepted, started with a hold, finished.
-func (d *driver) turn(id structs.ProgramID, number structs.CallNumber, input, answer []byte) {
+// runCall runs one call to its end: accepted, started with a hold, finished.
+func (d *benchDriver) runCall(id structs.ProgramID, number structs.CallNumber, input, answer []byte) {
 	request := modelCall(id, number)
 	request.Input = input
 	d.commit(d.machine.Accept(testStart, request))
@@ -70,15 +72,15 @@
 	d.commit(d.machine.Finish(testStart, FinishRequest{Program: id, Number: number, Attempt: 1, Answer: answer, Spent: testReserve()}))
 }
 
-// BenchmarkApply measures what a follower does for one turn of 500 tokens: three
-// entries with four records.
+// BenchmarkApply measures the work of a follower for one turn of 500 tokens:
+// three entries with four records.
 func BenchmarkApply(b *testing.B) {
-	text := prose(500)
-	leader := &driver{machine: NewMachine(testShard), keep: true}
+	text := sampleText(500)
+	leader := &benchDriver{machine: NewMachine(testShard), keepEntries: true}
 	id := leader.open("k")
 	const turns = 10_000
 	for number := range structs.CallNumber(turns) {
-		leader.turn(id, number+1, text[200:], text[:200])
+		leader.runCall(id, number+1, text[200:], text[:200])
 	}
 	b.ReportAllocs()
 	next, follower := 0, NewMachine(testShard)
@@ -93,46 +95,47 @@
 	}
 }
 
-// fill gives the program a history of that size, in turns of at most 6,500
-// tokens: 130 of them hold the longest one.
-func (d *driver) fill(id structs.ProgramID, tokens int) structs.CallNumber {
+// fillHistory gives the program a history of this size, in turns of at most
+// 6,500 tokens. The longest history takes 130 turns.
+func (d *benchDriver) fillHistory(id structs.ProgramID, tokens int) structs.CallNumber {
 	const tokensPerTurn = 6_500
 	number := structs.CallNumber(0)
 	for ; tokens > 0; tokens -= tokensPerTurn {
 		number++
-		text := prose(min(tokens, tokensPerTurn))
-		d.turn(id, number, text[len(text)/8:], text[:len(text)/8])
+		text := sampleText(min(tokens, tokensPerTurn))
+		d.runCall(id, number, text[len(text)/8:], text[:len(text)/8])
 	}
 	return number
 }
 
-// BenchmarkTurn measures one turn of 500 tokens, on the leader with what every
-// replica does, after histories of growing size.
+// BenchmarkTurn measures one turn of 500 tokens after histories of growing
+// size: the leader's work including what every replica does.
 func BenchmarkTurn(b *testing.B) {
-	text := prose(500)
+	text := sampleText(500)
 	for _, tokens := range historySizes {
 		b.Run(fmt.Sprintf("history=%d", tokens), func(b *testing.B) {
-			d := &driver{machine: NewMachine(testShard)}
+			d := &benchDriver{machine: NewMachine(testShard)}
 			id := d.open("k")
-			number := d.fill(id, tokens)
+			number := d.fillHistory(id, tokens)
 			d.bytes = 0
 			b.ReportAllocs()
 			for b.Loop() {
 				number++
-				d.turn(id, number, text[200:], text[:200])
+				d.runCall(id, number, text[200:], text[:200])
 			}
 			b.ReportMetric(float64(d.bytes)/float64(b.N), "record-B/op")
 		})
 	}
 }
 
-// BenchmarkHistory measures reading the whole history, which becomes a prompt.
+// BenchmarkHistory measures reading and decoding the whole history, which
+// becomes a prompt.
 func BenchmarkHistory(b *testing.B) {
 	for _, tokens := range historySizes {
 		b.Run(fmt.Sprintf("history=%d", tokens), func(b *testing.B) {
-			d := &driver{machine: NewMachine(testShard)}
+			d := &benchDriver{machine: NewMachine(testShard)}
 			id := d.open("k")
-			d.fill(id, tokens)
+			d.fillHistory(id, tokens)
 			b.SetBytes(int64(tokens) * bytesPerToken)
 			for b.Loop() {
 				if _, err := d.machine.History(id); err != nil {
@@ -143,11 +146,12 @@
 	}
 }
 
-// BenchmarkEncodedHistory measures the part of it that needs the machine.
+// BenchmarkEncodedHistory measures the part of reading a history that needs
+// access to the machine.
 func BenchmarkEncodedHistory(b *testing.B) {
-	d := &driver{machine: NewMachine(testShard)}
+	d := &benchDriver{machine: NewMachine(testShard)}
 	id := d.open("k")
-	d.fill(id, 840_000)
+	d.fillHistory(id, 840_000)
 	for b.Loop() {
 		if _, err := d.machine.EncodedHistory(id); err != nil {
 			b.Fatal(err)
@@ -155,12 +159,12 @@
 	}
 }
 
-// BenchmarkDueTasks measures a look at the duties of a shard where ten programs
-// become due, beside so many that are not.
+// BenchmarkDueTasks measures DueTasks for a shard with ten due programs among
+// many that are not due.
 func BenchmarkDueTasks(b *testing.B) {
 	for _, programs := range []int{333, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("programs=%d", programs), func(b *testing.B) {
-			d := &driver{machine: NewMachine(testShard)}
+			d := &benchDriver{machine: NewMachine(testShard)}
 			for i := range programs {
 				d.open(fmt.Sprint(i))
 			}
@@ -171,9 +175,9 @@
 			}
 			now := testStart
 			for b.Loop() {
-				now = now.Add(offerInterval)
-				if duties := d.machine.DueTasks(now); len(duties) != 10 {
-					b.Fatalf("%d duties", len(duties))
+				now = now.Add(taskRetryInterval)
+				if tasks := d.machine.DueTasks(now); len(tasks) != 10 {
+					b.Fatalf("got %d due tasks, want 10", len(tasks))
 				}
 			}
 		})
@@ -187,13 +191,13 @@
 	return stats.HeapAlloc
 }
 
-// BenchmarkSnapshot measures a snapshot of a shard with 333 programs of 10,000
-// tokens each, and the memory that one program takes.
+// BenchmarkSnapshot measures the snapshot of a shard with 333 programs of
+// 10,000 tokens each, and the memory that one program takes.
 func BenchmarkSnapshot(b *testing.B) {
-	d := &driver{machine: NewMachine(testShard)}
+	d := &benchDriver{machine: NewMachine(testShard)}
 	before := heapBytes()
 	for i := range 333 {
-		d.fill(d.open(fmt.Sprint(i)), 10_000)
+		d.fillHistory(d.open(fmt.Sprint(i)), 10_000)
 	}
 	perProgram := float64(heapBytes()-before) / 333
 	for b.Loop() {
--- a/internal/program/each.go
+++ b/internal/program/for_each.go
@@ -1,7 +1,7 @@
 package program
 
-// ForEachOpenProgram calls visit with every program that has not ended, in no particular
-// order.
+// ForEachOpenProgram calls visit for every program that has not ended, in no
+// particular order.
 func (m *Machine) ForEachOpenProgram(visit func(Status)) {
 	for id, p := range m.programs {
 		if p.ended {
--- a/internal/program/fuzz_test.go
+++ b/internal/program/fuzz_test.go
@@ -4,20 +4,21 @@
 
 // seedMachine returns a machine with calls in several states, and its entries.
 func seedMachine() (*Machine, [][]byte) {
-	d := &driver{machine: NewMachine(testShard), keep: true}
+	d := &benchDriver{machine: NewMachine(testShard), keepEntries: true}
 	id := d.open("k")
-	d.turn(id, 1, []byte("why?"), prose(200))
+	d.runCall(id, 1, []byte("why?"), sampleText(200))
 	d.commit(d.machine.Accept(testStart, toolCall(id, 2)))
 	d.commit(d.machine.Start(testStart, StartRequest{Program: id, Number: 2, DispatchKey: "k", Reserve: testReserve()}))
 	d.commit(d.machine.Accept(testStart, modelCall(id, 4)))
 	return d.machine, d.entries
 }
 
-// exercise looks at everything that damaged input could have put out of order.
-func exercise(t *testing.T, m *Machine) {
+// checkInvariants checks the budgets and calls every method that damaged input
+// could make panic.
+func checkInvariants(t *testing.T, m *Machine) {
 	for id, p := range m.programs {
 		if !p.totalSpent().Plus(p.reserved).Plus(p.granted).Within(p.budget()) {
-			t.Fatalf("%s is over its budget", id)
+			t.Fatalf("program %s exceeds its budget", id)
 		}
 		m.RunnableCall(id)
 		_, _ = m.History(id)
@@ -36,7 +37,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		m, entries := seedMachine()
 		m.Apply(uint64(len(entries)+1), data)
-		exercise(t, m)
+		checkInvariants(t, m)
 	})
 }
 
--- a/internal/program/guarantee_test.go
+++ b/internal/program/guarantee_test.go
@@ -19,12 +19,12 @@
 	_, err := f.machine.Start(f.now, StartRequest{Program: id, Number: 1, DispatchKey: "second"})
 	require.IsType(t, &failure.CallConflict{}, err)
 	_, err = f.machine.RecordNotRun(f.now, NotRunRequest{Program: id, Number: 1, Attempt: 1, GivenUp: true})
-	require.IsType(t, &failure.Malformed{}, err, "a non-repeatable call is taken back only with proof")
+	require.IsType(t, &failure.Malformed{}, err, "a non-repeatable call cannot be given up")
 	f.commit(f.machine.RecordOutcomeUnknown(f.now, id, 1, 1, "no answer"))
-	answer, err := f.machine.CallResult(testTenant, id, 1)
+	result, err := f.machine.CallResult(testTenant, id, 1)
 	require.NoError(t, err)
-	require.Equal(t, failure.OutcomeUnknown, answer.Outcome)
-	require.Equal(t, testReserve().Tokens, answer.Spent.Tokens, "the whole reservation is spent")
+	require.Equal(t, failure.OutcomeUnknown, result.Outcome)
+	require.Equal(t, testReserve().Tokens, result.Spent.Tokens, "the whole reservation must count as spent")
 	_, runnable := f.machine.RunnableCall(id)
 	require.False(t, runnable)
 }
@@ -38,11 +38,11 @@
 	require.IsType(t, &failure.CallConflict{}, err)
 	f.commit(f.machine.RecordNotRun(f.now, NotRunRequest{Program: id, Number: 1, Attempt: 1}))
 	f.commit(f.machine.RecordNotRun(f.now, NotRunRequest{Program: id, Number: 1, Final: true, FailureType: "engine_unavailable"}))
-	answer, err := f.machine.CallResult(testTenant, id, 1)
+	result, err := f.machine.CallResult(testTenant, id, 1)
 	require.NoError(t, err)
-	require.Equal(t, failure.NotRun, answer.Outcome)
+	require.Equal(t, failure.NotRun, result.Outcome)
 	_, err = f.machine.Start(f.now, StartRequest{Program: id, Number: 1, DispatchKey: "second"})
-	require.IsType(t, &failure.CallConflict{}, err, "no attempt follows a refusal")
+	require.IsType(t, &failure.CallConflict{}, err, "no attempt may start after a refusal")
 }
 
 func TestGivenUpCallIsReportedAsRan(t *testing.T) {
@@ -53,9 +53,9 @@
 	f.commit(f.machine.RecordNotRun(f.now, NotRunRequest{Program: id, Number: 1, Attempt: 1, GivenUp: true,
 		Spent: structs.Amount{Tokens: 30}}))
 	f.commit(f.machine.RecordNotRun(f.now, NotRunRequest{Program: id, Number: 1, Final: true}))
-	answer, err := f.machine.CallResult(testTenant, id, 1)
+	result, err := f.machine.CallResult(testTenant, id, 1)
 	require.NoError(t, err)
-	require.Equal(t, failure.Ran, answer.Outcome)
+	require.Equal(t, failure.Ran, result.Outcome)
 	require.Equal(t, int64(30), f.status(id).Spent.Tokens)
 }
 
@@ -75,13 +75,13 @@
 	id := f.open("k")
 	f.commit(f.machine.Accept(f.now, modelCall(id, 1)))
 	f.start(id, 1, "first")
-	twice, err := f.machine.Finish(f.now, FinishRequest{Program: id, Number: 1, Attempt: 1, Spent: testReserve()})
-	f.commit(twice, err)
+	finish, err := f.machine.Finish(f.now, FinishRequest{Program: id, Number: 1, Attempt: 1, Spent: testReserve()})
+	f.commit(finish, err)
 	f.commit(f.machine.Accept(f.now, modelCall(id, 2)))
 	f.start(id, 2, "next")
-	f.commit(twice, err)
+	f.commit(finish, err)
 	require.Equal(t, testReserve().Tokens, f.status(id).Spent.Tokens)
-	require.Equal(t, testReserve().Tokens, f.status(id).Reserved.Tokens, "the next call keeps its reservation")
+	require.Equal(t, testReserve().Tokens, f.status(id).Reserved.Tokens, "the next call must keep its reservation")
 }
 
 func TestEntryIsAppliedOnce(t *testing.T) {
@@ -100,7 +100,7 @@
 		}
 	}
 	f.machine.Apply(f.index, released)
-	require.Len(t, f.machine.Holds(), 1, "an old release does not drop a new hold")
+	require.Len(t, f.machine.Holds(), 1, "an old release must not remove a new hold")
 }
 
 func TestEveryBudgetMemberIsLimited(t *testing.T) {
@@ -125,10 +125,10 @@
 		f.finish(id, number, 1, "")
 	}
 	f.commit(f.machine.Accept(f.now, modelCall(id, 21)))
-	answer, err := f.machine.CallResult(testTenant, id, 21)
+	result, err := f.machine.CallResult(testTenant, id, 21)
 	require.NoError(t, err)
-	require.Equal(t, failure.NotRun, answer.Outcome, "refused for good: a late copy of the request cannot run")
-	require.Equal(t, failure.Type("budget_exceeded"), answer.FailureType)
+	require.Equal(t, failure.NotRun, result.Outcome, "the refusal is final: a late copy of the request must not run")
+	require.Equal(t, failure.Type("budget_exceeded"), result.FailureType)
 }
 
 func (f *fixture) openChild(parent structs.ProgramID, key string, budget structs.Amount) (structs.ProgramID, error) {
@@ -153,7 +153,7 @@
 	f.commit(f.machine.Accept(f.now, modelCall(child, 1)))
 	f.start(child, 1, "c1")
 	f.commit(f.machine.End(f.now, testTenant, child, CauseEnded))
-	require.Equal(t, granted, f.status(parent).Granted, "a call of the child is not settled")
+	require.Equal(t, granted, f.status(parent).Granted, "a call of the child is not settled yet")
 	f.finish(child, 1, 1, "")
 	require.Equal(t, structs.Amount{}, f.status(parent).Granted)
 	require.Equal(t, int64(40), f.status(parent).Spent.Tokens)
@@ -180,7 +180,7 @@
 	require.NoError(t, err)
 	f.commit(start, nil)
 	_, dispatched := f.machine.StartedCall(parent, 1, "p1")
-	require.False(t, dispatched, "the record came too late: nothing may be sent")
+	require.False(t, dispatched, "the record was applied too late: the call must not be sent")
 	require.Equal(t, []structs.ProgramID{child}, f.status(parent).Children)
 }
 
@@ -198,11 +198,11 @@
 	require.Equal(t, CauseParent, f.status(grandchild).Cause)
 	require.Equal(t, Ending, f.status(parent).State)
 	started, found := f.machine.StartedCall(grandchild, 1, "g1")
-	require.True(t, found, "a started non-repeatable call runs to its end")
+	require.True(t, found, "a started non-repeatable call must run to its end")
 	require.False(t, started.AbandonRequested)
-	answer, err := f.machine.CallResult(testTenant, grandchild, 2)
+	result, err := f.machine.CallResult(testTenant, grandchild, 2)
 	require.NoError(t, err)
-	require.Equal(t, failure.NotRun, answer.Outcome)
+	require.Equal(t, failure.NotRun, result.Outcome)
 	f.finish(grandchild, 1, 1, "released")
 	require.Equal(t, Ended, f.status(parent).State)
 	require.Equal(t, int64(40), f.status(parent).Spent.Tokens)
@@ -214,12 +214,12 @@
 	f.commit(f.machine.Accept(f.now, modelCall(id, 1)))
 	f.start(id, 1, "k1")
 	f.commit(f.machine.Cancel(f.now, testTenant, id, 1))
-	duties := f.machine.DueTasks(f.now)
-	require.Len(t, duties, 1)
-	require.True(t, duties[0].Call.AbandonRequested)
+	tasks := f.machine.DueTasks(f.now)
+	require.Len(t, tasks, 1)
+	require.True(t, tasks[0].Call.AbandonRequested)
 	f.commit(f.machine.RecordNotRun(f.now, NotRunRequest{Program: id, Number: 1, Attempt: 1, GivenUp: true}))
 	_, runnable := f.machine.RunnableCall(id)
-	require.False(t, runnable, "a cancelled call is not started again")
+	require.False(t, runnable, "a cancelled call must not start again")
 }
 
 func TestHoldsAreReleasedOnlyAfterTheEnd(t *testing.T) {
@@ -227,7 +227,7 @@
 	id := f.open("k")
 	f.commit(f.machine.Accept(f.now, modelCall(id, 1)))
 	f.start(id, 1, "k1")
-	require.Len(t, f.machine.Holds(), 1, "the hold is recorded with the start")
+	require.Len(t, f.machine.Holds(), 1, "the hold must be recorded with the start")
 	_, err := f.machine.RecordHoldReleased(f.now, id, testEngine, 3)
 	require.IsType(t, &failure.CallConflict{}, err)
 	f.finish(id, 1, 1, "")
@@ -235,12 +235,12 @@
 	f.commit(f.machine.End(f.now, testTenant, id, CauseEnded))
 	f.now = f.now.Add(RetentionTime)
 	_, err = f.machine.Remove(f.now, id)
-	require.IsType(t, &failure.CallConflict{}, err, "a program with a hold is not removed")
-	duties := f.machine.DueTasks(f.now)
-	require.Len(t, duties, 1)
-	require.Equal(t, TaskReleaseHold, duties[0].Kind)
-	require.Empty(t, f.machine.DueTasks(f.now), "not offered again at once")
-	require.Len(t, f.machine.DueTasks(f.now.Add(offerInterval)), 1, "offered again until it is done")
+	require.IsType(t, &failure.CallConflict{}, err, "a program with a hold must not be removed")
+	tasks := f.machine.DueTasks(f.now)
+	require.Len(t, tasks, 1)
+	require.Equal(t, TaskReleaseHold, tasks[0].Kind)
+	require.Empty(t, f.machine.DueTasks(f.now), "a task must not be returned again immediately")
+	require.Len(t, f.machine.DueTasks(f.now.Add(taskRetryInterval)), 1, "a task must be returned again until it is completed")
 	f.commit(f.machine.RecordHoldReleased(f.now, id, testEngine, 3))
 	require.Equal(t, TaskRemoveProgram, f.machine.DueTasks(f.now)[0].Kind)
 }
@@ -250,7 +250,7 @@
 	id := f.open("k")
 	f.commit(f.machine.End(f.now, testTenant, id, CauseEnded))
 	_, err := f.machine.Remove(f.now, id)
-	require.IsType(t, &failure.CallConflict{}, err, "repeats are answered for the retention time")
+	require.IsType(t, &failure.CallConflict{}, err, "repeated requests must be answered during the retention time")
 	f.now = f.now.Add(RetentionTime)
 	f.commit(f.machine.Remove(f.now, id))
 	_, err = f.machine.Open(f.now, OpenRequest{ID: id, Tenant: testTenant, Hash: 1})
@@ -261,15 +261,15 @@
 	f := newFixture(t)
 	id := f.open("k")
 	require.Empty(t, f.machine.DueTasks(f.now.Add(59*time.Second)))
-	duties := f.machine.DueTasks(f.now.Add(time.Minute))
-	require.Equal(t, []LeaderTask{{Kind: TaskEndProgram, Program: id, Tenant: testTenant, Cause: CauseIdle}}, duties)
+	tasks := f.machine.DueTasks(f.now.Add(time.Minute))
+	require.Equal(t, []LeaderTask{{Kind: TaskEndProgram, Program: id, Tenant: testTenant, Cause: CauseIdle}}, tasks)
 	f.now = f.now.Add(30 * time.Second)
 	f.commit(f.machine.Accept(f.now, modelCall(id, 1)))
-	require.Empty(t, f.machine.DueTasks(testStart.Add(time.Minute+offerInterval)), "a call is activity")
+	require.Empty(t, f.machine.DueTasks(testStart.Add(time.Minute+taskRetryInterval)), "a call must count as activity")
 
 	urgent := structs.NewProgramID(testDomain, testTenant, "urgent")
 	f.commit(f.machine.Open(f.now, OpenRequest{ID: urgent, Tenant: testTenant, Budget: testBudget(),
 		Deadline: f.now.Add(5 * time.Second)}))
-	duties = f.machine.DueTasks(f.now.Add(5 * time.Second))
-	require.Equal(t, []LeaderTask{{Kind: TaskEndProgram, Program: urgent, Tenant: testTenant, Cause: CauseDeadline}}, duties)
+	tasks = f.machine.DueTasks(f.now.Add(5 * time.Second))
+	require.Equal(t, []LeaderTask{{Kind: TaskEndProgram, Program: urgent, Tenant: testTenant, Cause: CauseDeadline}}, tasks)
 }
--- a/internal/program/machine.go
+++ b/internal/program/machine.go
@@ -1,13 +1,14 @@
-// Package program is the replicated state machine of agent programs: which
-// call may run next, what was answered, what was spent, which engines hold
-// memory. It does no I/O. Requests are validated against the committed state
-// and answered with records to propose; the state changes only when committed
-// records are applied, in the journal's order, the same on every replica.
+// Package program implements the replicated state machine of agent programs.
+// It decides which call may run next and holds the answers, the spending and
+// the engines that may cache data for a program. It does no I/O. Requests are
+// validated against the committed state and answered with records to propose.
+// The state changes only when committed records are applied, in the journal's
+// order, which is the same on every replica.
 //
 // Two records that were decided against the same state can both be committed.
-// Apply therefore checks each record again and ignores one that the state does
-// not permit. A dispatcher must ask Dispatched after its proposal was applied
-// and send only when it confirms the attempt.
+// Apply therefore checks each record again and ignores it if the state does
+// not permit it. After its proposal is applied, a dispatcher must call
+// StartedCall and send the call only if StartedCall confirms the attempt.
 package program
 
 import (
@@ -17,15 +18,15 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Bounds of the state machine.
+// Limits of the state machine.
 const (
-	// MaxEarlyCalls is how far ahead of the lowest number that was not accepted
-	// a call may be accepted.
+	// MaxEarlyCalls is how far a call's number may be ahead of the lowest
+	// number that was not accepted.
 	MaxEarlyCalls = 32
-	// RetentionTime is how long an ended program answers repeats.
+	// RetentionTime is how long an ended program answers repeated requests.
 	RetentionTime = 10 * time.Minute
-	// RemovedTime is how long the id of a removed program is remembered, so
-	// that a late repeat of its opening starts nothing.
+	// RemovedTime is how long the ID of a removed program is kept, so that a
+	// late repeat of its opening does not open a new program.
 	RemovedTime = 24 * time.Hour
 )
 
@@ -35,7 +36,7 @@
 	applied  uint64
 	programs map[structs.ProgramID]*program
 	removed  removedPrograms
-	due      dueHeap
+	dueHeap  dueHeap
 }
 
 // NewMachine returns the empty machine of a shard.
@@ -47,39 +48,40 @@
 	}
 }
 
-// Applied returns the index of the last journal entry applied.
+// Applied returns the index of the last applied journal entry.
 func (m *Machine) Applied() uint64 { return m.applied }
 
-// ProgramCount returns the number of programs held, ended ones included.
+// ProgramCount returns the number of programs in memory, including ended ones.
 func (m *Machine) ProgramCount() int { return len(m.programs) }
 
-// find returns the tenant's program. Another tenant's program is unknown.
+// find returns the tenant's program. The program of another tenant is reported
+// as unknown.
 func (m *Machine) find(tenant structs.TenantID, id structs.ProgramID) (*program, error) {
-	found, ok := m.programs[id]
-	if !ok || found.tenant() != tenant {
+	p, ok := m.programs[id]
+	if !ok || p.tenant() != tenant {
 		return nil, &failure.UnknownProgram{Program: string(id)}
 	}
-	return found, nil
+	return p, nil
 }
 
-// findAny returns the program whoever its tenant is.
-func (m *Machine) findAny(id structs.ProgramID) (*program, error) {
-	found, ok := m.programs[id]
+// findForAnyTenant returns the program regardless of its tenant.
+func (m *Machine) findForAnyTenant(id structs.ProgramID) (*program, error) {
+	p, ok := m.programs[id]
 	if !ok {
 		return nil, &failure.UnknownProgram{Program: string(id)}
 	}
-	return found, nil
+	return p, nil
 }
 
-// findCall returns a call that was accepted, with its program.
+// findCall returns an accepted call and its program.
 func (m *Machine) findCall(id structs.ProgramID, number structs.CallNumber) (*program, *call, error) {
-	found, err := m.findAny(id)
+	p, err := m.findForAnyTenant(id)
 	if err != nil {
 		return nil, nil, err
 	}
-	issued := found.call(number)
-	if issued == nil {
+	c := p.call(number)
+	if c == nil {
 		return nil, nil, &failure.UnknownCall{Number: uint32(number)}
 	}
-	return found, issued, nil
+	return p, c, nil
 }
--- a/internal/program/machine_test.go
+++ b/internal/program/machine_test.go
@@ -22,7 +22,7 @@
 	testEngine = structs.EngineID("engine-1")
 )
 
-// fixture drives a machine whose proposals commit at once.
+// fixture wraps a machine and commits its proposals immediately.
 type fixture struct {
 	t       *testing.T
 	machine *Machine
@@ -103,7 +103,7 @@
 	require.IsType(t, &failure.WrongOrder{}, err)
 	f.start(id, 1, "k1")
 	_, runnable = f.machine.RunnableCall(id)
-	require.False(t, runnable, "one call at a time")
+	require.False(t, runnable, "only one call may be started at a time")
 	f.finish(id, 1, 1, "pull the lever")
 	next, runnable := f.machine.RunnableCall(id)
 	require.True(t, runnable)
--- a/internal/program/check_test.go
+++ b/internal/program/model_check_test.go
@@ -24,11 +24,11 @@
 		histories++
 	}
 	require.Len(t, m.machine.Holds(), holds)
-	for _, held := range m.machine.Holds() {
-		require.True(t, m.oracle[held.Program].holds[held.Engine])
-		require.Equal(t, m.oracle[held.Program].ended, held.ProgramEnded)
+	for _, hold := range m.machine.Holds() {
+		require.True(t, m.oracle[hold.Program].holds[hold.Engine])
+		require.Equal(t, m.oracle[hold.Program].ended, hold.ProgramEnded)
 	}
-	m.checkDuties(t)
+	m.checkTasks(t)
 	return histories
 }
 
@@ -36,12 +36,12 @@
 	status, err := m.machine.Status(testTenant, id)
 	require.NoError(t, err)
 	require.Equal(t, p.spent(), status.Spent)
-	require.Equal(t, p.left(), status.Remaining)
-	require.Equal(t, p.activity, status.LastActivityAt)
+	require.Equal(t, p.remaining(), status.Remaining)
+	require.Equal(t, p.lastActivity, status.LastActivityAt)
 	used := status.Spent.Plus(status.Reserved).Plus(status.Granted)
-	require.True(t, used.Within(status.Budget), "spent and reserved stay within the budget")
+	require.True(t, used.Within(status.Budget), "spent, reserved and granted must stay within the budget")
 	require.Equal(t, p.ended, status.State != Open)
-	require.Equal(t, p.next(func(*oracleCall) bool { return true }), status.NextCall)
+	require.Equal(t, p.firstNumberNot(func(*oracleCall) bool { return true }), status.NextCall)
 	require.Equal(t, p.settled(), status.State == Ended)
 	var history []Turn
 	for number := structs.CallNumber(1); number < p.cursor(); number++ {
@@ -62,64 +62,65 @@
 }
 
 func (m *model) checkCall(t require.TestingT, id structs.ProgramID, number structs.CallNumber, call *oracleCall) {
-	answer, err := m.machine.CallResult(testTenant, id, number)
+	result, err := m.machine.CallResult(testTenant, id, number)
 	require.NoError(t, err)
-	require.Equal(t, call.state, answer.State)
-	require.Equal(t, call.spent, answer.Spent)
-	require.Equal(t, string(call.answer), string(answer.Answer))
-	if answer.Outcome == failure.NotRun {
+	require.Equal(t, call.state, result.State)
+	require.Equal(t, call.spent, result.Spent)
+	require.Equal(t, string(call.answer), string(result.Answer))
+	if result.Outcome == failure.NotRun {
 		require.Contains(t, []CallState{Refused, Cancelled}, call.state)
 		require.False(t, call.mayHaveRun)
 	}
 	view, dispatched := m.machine.StartedCall(id, number, call.key)
 	require.Equal(t, call.state == Started, dispatched)
 	if dispatched {
-		require.Equal(t, call.abandon, view.AbandonRequested)
+		require.Equal(t, call.abandonRequested, view.AbandonRequested)
 		require.Equal(t, call.reserve, view.Reserved)
 	}
 }
 
-// checkDuties compares what a replica that has just taken over would do.
-func (m *model) checkDuties(t require.TestingT) {
+// checkTasks compares the leader tasks of a replica that has just become
+// leader with those that the oracle expects.
+func (m *model) checkTasks(t require.TestingT) {
 	data, err := m.machine.Snapshot()
 	require.NoError(t, err)
 	successor := NewMachine(testShard)
 	require.NoError(t, successor.Restore(data))
-	var duties []string
-	for _, duty := range successor.DueTasks(m.now) {
-		duties = append(duties, string(duty.Kind)+string(duty.Program)+string(duty.Hold.Engine)+duty.Cause)
+	var tasks []string
+	for _, task := range successor.DueTasks(m.now) {
+		tasks = append(tasks, string(task.Kind)+string(task.Program)+string(task.Hold.Engine)+task.Cause)
 	}
 	var expected []string
 	for id, p := range m.oracle {
 		if !p.removed {
-			expected = append(expected, m.dutiesOf(id, p)...)
+			expected = append(expected, m.expectedTasks(id, p)...)
 		}
 	}
-	slices.Sort(duties)
+	slices.Sort(tasks)
 	slices.Sort(expected)
-	require.Equal(t, expected, duties)
+	require.Equal(t, expected, tasks)
 }
 
-func (m *model) dutiesOf(id structs.ProgramID, p *oracleProgram) (duties []string) {
-	idle := p.started() == nil && !slices.ContainsFunc(p.children, func(c *oracleProgram) bool { return !c.settled() })
-	idleAt, deadline := p.activity.Add(p.request.IdleTimeout), p.request.Deadline
+func (m *model) expectedTasks(id structs.ProgramID, p *oracleProgram) (tasks []string) {
+	idle := p.startedCall() == nil && !slices.ContainsFunc(p.children, func(c *oracleProgram) bool { return !c.settled() })
+	idleAt, deadline := p.lastActivity.Add(p.request.IdleTimeout), p.request.Deadline
 	late := !deadline.IsZero() && !m.now.Before(deadline)
 	idle = idle && !m.now.Before(idleAt)
-	if p.started() != nil {
-		duties = append(duties, string(TaskResumeCall)+string(id))
+	if p.startedCall() != nil {
+		tasks = append(tasks, string(TaskResumeCall)+string(id))
 	}
 	switch {
 	case !p.ended && idle && (deadline.IsZero() || idleAt.Before(deadline)):
-		return append(duties, string(TaskEndProgram)+string(id)+CauseIdle)
+		return append(tasks, string(TaskEndProgram)+string(id)+CauseIdle)
 	case !p.ended && late:
-		return append(duties, string(TaskEndProgram)+string(id)+CauseDeadline)
-	case p.ended && p.started() == nil:
+		return append(tasks, string(TaskEndProgram)+string(id)+CauseDeadline)
+	case p.ended && p.startedCall() == nil:
 		for engine := range p.holds {
-			duties = append(duties, string(TaskReleaseHold)+string(id)+string(engine))
+			tasks = append(tasks, string(TaskReleaseHold)+string(id)+string(engine))
 		}
 		if p.settled() && len(p.holds) == 0 && !m.now.Before(p.endedAt.Add(RetentionTime)) {
-			duties = append(duties, string(TaskRemoveProgram)+string(id))
+			tasks = append(tasks, string(TaskRemoveProgram)+string(id))
 		}
 	}
-	return duties
+	return tasks
 }
--- a/internal/program/model_test.go
+++ b/internal/program/model_test.go
@@ -16,23 +16,24 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict. The flags
-// override it: -rapid.checks and -rapid.steps for long runs, -rapid.seed.
+// TestMain sets a fixed seed so that every run gives the same result. The
+// flags -rapid.seed, -rapid.checks and -rapid.steps override the defaults, for
+// example for long runs.
 func TestMain(m *testing.M) {
 	fuzzseed.Main(m, fuzzseed.Defaults{"rapid.seed": "20260102", "rapid.checks": "300", "rapid.steps": "100"})
 }
 
-// command is one request, to the machine and to the oracle.
+// command is one request to the machine and to the oracle.
 type command struct {
 	decide func(*Machine) (Decision, error)
 	expect func() effect
 }
 
-// model drives a machine and the oracle side by side.
+// model runs the machine and the oracle on the same commands.
 type model struct {
 	machine *Machine
 	oracle  oracle
-	log     [][]byte
+	entries [][]byte
 	now     time.Time
 	keys    int
 }
@@ -40,51 +41,54 @@
 func (m *model) append(t require.TestingT, decision Decision) {
 	data, err := proto.Marshal(decision.Batch())
 	require.NoError(t, err)
-	m.log = append(m.log, data)
-	m.machine.Apply(uint64(len(m.log)), data)
+	m.entries = append(m.entries, data)
+	m.machine.Apply(uint64(len(m.entries)), data)
 }
 
-// decide asks both and compares; done reports that records are to be committed.
+// decide sends the command to both and compares the results. It returns done
+// if records are to be committed.
 func (m *model) decide(t require.TestingT, c command) (decision Decision, done bool) {
 	expected := c.expect()
 	decision, err := c.decide(m.machine)
 	switch {
 	case err != nil:
-		require.Equal(t, expected.refused, failure.Classify(err).Type(), "%v", err)
+		require.Equal(t, expected.refusal, failure.Classify(err).Type(), "%v", err)
 	case decision.Repeat:
-		require.Equal(t, expected.refused, repeat.refused)
+		require.Equal(t, expected.refusal, repeatEffect.refusal)
 	default:
-		require.Empty(t, expected.refused)
+		require.Empty(t, expected.refusal)
 		return decision, true
 	}
 	return decision, false
 }
 
-// commit applies a decision that was made earlier: what the state no longer
-// permits must change nothing.
+// commit applies a decision that was made earlier. It must change nothing if
+// the state no longer permits it.
 func (m *model) commit(t require.TestingT, c command, decision Decision) {
 	expected := c.expect()
 	m.append(t, decision)
 	if expected.apply != nil {
 		expected.apply()
 	}
-	m.passOnActivity()
+	m.propagateActivity()
 }
 
-// passOnActivity counts the settlement of a child as activity of its parent.
-func (m *model) passOnActivity() {
-	for again := true; again; {
-		again = false
+// propagateActivity counts the settlement of a child as activity of its
+// parent.
+func (m *model) propagateActivity() {
+	for changed := true; changed; {
+		changed = false
 		for _, p := range m.oracle {
-			if p.settled() && !p.settledBefore && p.parent != nil {
-				p.parent.touch(p.activity)
-				p.settledBefore, again = true, true
+			if p.settled() && !p.settlementPropagated && p.parent != nil {
+				p.parent.recordActivity(p.lastActivity)
+				p.settlementPropagated, changed = true, true
 			}
 		}
 	}
 }
 
-// run carries out a command; sometimes its records are lost with the leader.
+// run executes a command. In some runs its records are lost, as when the
+// leader fails.
 func (m *model) run(t *rapid.T, c command) {
 	decision, done := m.decide(t, c)
 	if done && rapid.IntRange(0, 9).Draw(t, "lost") > 0 {
@@ -92,9 +96,10 @@
 	}
 }
 
-// race decides two commands against the same state and commits both.
-func (m *model) race(t *rapid.T) {
-	first, second := m.draw(t), m.draw(t)
+// commitConcurrently decides two commands against the same state and commits
+// both.
+func (m *model) commitConcurrently(t *rapid.T) {
+	first, second := m.drawCommand(t), m.drawCommand(t)
 	decisionA, doneA := m.decide(t, first)
 	decisionB, doneB := m.decide(t, second)
 	if doneA {
@@ -105,24 +110,24 @@
 	}
 }
 
-func (m *model) newLeader(t *rapid.T) {
+func (m *model) replaceLeader(t *rapid.T) {
 	next := NewMachine(testShard)
-	snapshotAt := rapid.IntRange(0, len(m.log)).Draw(t, "snapshot")
-	for i, data := range m.log[:snapshotAt] {
+	snapshotAt := rapid.IntRange(0, len(m.entries)).Draw(t, "snapshot")
+	for i, data := range m.entries[:snapshotAt] {
 		next.Apply(uint64(i+1), data)
 	}
 	data, err := next.Snapshot()
 	require.NoError(t, err)
 	next = NewMachine(testShard)
 	require.NoError(t, next.Restore(data))
-	for i, data := range m.log {
+	for i, data := range m.entries {
 		next.Apply(uint64(i+1), data)
 	}
 	before, err := m.machine.Snapshot()
 	require.NoError(t, err)
 	after, err := next.Snapshot()
 	require.NoError(t, err)
-	require.Equal(t, before, after, "every replica reaches the same state")
+	require.Equal(t, before, after, "every replica must reach the same state")
 	m.machine = next
 }
 
@@ -161,8 +166,8 @@
 	return rapid.SampledFrom(ids).Draw(t, "program")
 }
 
-// draw returns any command, also ones that must be refused.
-func (m *model) draw(t *rapid.T) command {
+// drawCommand returns any command, including commands that must be refused.
+func (m *model) drawCommand(t *rapid.T) command {
 	if len(m.oracle) == 0 || rapid.IntRange(0, 7).Draw(t, "open") == 0 {
 		return m.drawOpen(t)
 	}
@@ -199,7 +204,7 @@
 				return machine.RecordOutcomeUnknown(now, id, number, attempt, "")
 			},
 			func() effect {
-				return m.oracle.settle(now, id, number, attempt, structs.Amount{Tokens: 1e9, CostMicros: 1e9, Turns: 1e9, Milliseconds: 1e9},
+				return m.oracle.settleAttempt(now, id, number, attempt, structs.Amount{Tokens: 1e9, CostMicros: 1e9, Turns: 1e9, Milliseconds: 1e9},
 					func(call *oracleCall) { call.state = OutcomeUnknown })
 			},
 		}
@@ -211,7 +216,7 @@
 	case 9:
 		return command{
 			func(machine *Machine) (Decision, error) { return machine.RecordHoldReleased(now, id, engine, 1) },
-			func() effect { return m.oracle.released(id, engine) },
+			func() effect { return m.oracle.releaseHold(id, engine) },
 		}
 	}
 	if p.ended {
@@ -241,7 +246,7 @@
 	r.Hash += uint64(rapid.IntRange(0, 9).Draw(t, "hash") / 9)
 	r.Input = fmt.Appendf(nil, "%s/%d", id, number)
 	state := Accepted
-	if m.oracle[id].left().Turns < 1 {
+	if m.oracle[id].remaining().Turns < 1 {
 		state = Refused
 	}
 	return command{
@@ -260,7 +265,7 @@
 	return command{
 		func(machine *Machine) (Decision, error) { return machine.Finish(m.now, r) },
 		func() effect {
-			return m.oracle.settle(m.now, r.Program, r.Number, r.Attempt, spent, func(call *oracleCall) {
+			return m.oracle.settleAttempt(m.now, r.Program, r.Number, r.Attempt, spent, func(call *oracleCall) {
 				call.state, call.answer = Finished, r.Answer
 				if r.FailureType != "" {
 					call.state = Failed
@@ -286,18 +291,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{machine: NewMachine(testShard), oracle: oracle{}, now: testStart}
 		t.Repeat(map[string]func(*rapid.T){
-			"command":  func(t *rapid.T) { m.run(t, m.draw(t)) },
-			"command2": func(t *rapid.T) { m.run(t, m.draw(t)) },
-			"command3": func(t *rapid.T) { m.run(t, m.draw(t)) },
-			"race":     m.race,
+			"command":  func(t *rapid.T) { m.run(t, m.drawCommand(t)) },
+			"command2": func(t *rapid.T) { m.run(t, m.drawCommand(t)) },
+			"command3": func(t *rapid.T) { m.run(t, m.drawCommand(t)) },
+			"race":     m.commitConcurrently,
 			"clock": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(-20, 700).Draw(t, "seconds")) * time.Second)
 			},
-			"new leader": m.newLeader,
+			"new leader": m.replaceLeader,
 			"repeated entry": func(t *rapid.T) {
-				if len(m.log) > 0 {
-					data := m.log[rand.New(rand.NewPCG(1, uint64(len(m.log)))).IntN(len(m.log))]
-					m.machine.Apply(uint64(len(m.log)), data)
+				if len(m.entries) > 0 {
+					data := m.entries[rand.New(rand.NewPCG(1, uint64(len(m.entries)))).IntN(len(m.entries))]
+					m.machine.Apply(uint64(len(m.entries)), data)
 				}
 			},
 			"": func(t *rapid.T) {
--- a/internal/program/oracle_test.go
+++ b/internal/program/oracle_test.go
@@ -9,45 +9,45 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// oracle is a plain model of programs: it keeps everything for ever and works
-// out every figure anew from the calls.
+// oracle is a simple model of programs. It deletes nothing and computes every
+// amount from the calls.
 type oracle map[structs.ProgramID]*oracleProgram
 
 type oracleProgram struct {
-	request           OpenRequest
-	parent            *oracleProgram
-	children          []*oracleProgram
-	calls             map[structs.CallNumber]*oracleCall
-	holds             map[structs.EngineID]bool
-	ended, removed    bool
-	endedAt, activity time.Time
-	settledBefore     bool
+	request               OpenRequest
+	parent                *oracleProgram
+	children              []*oracleProgram
+	calls                 map[structs.CallNumber]*oracleCall
+	holds                 map[structs.EngineID]bool
+	ended, removed        bool
+	endedAt, lastActivity time.Time
+	settlementPropagated  bool
 }
 
 type oracleCall struct {
-	request        CallRequest
-	state          CallState
-	attempt        uint32
-	abandon        bool
-	mayHaveRun     bool
-	engine         structs.EngineID
-	key            string
-	reserve, spent structs.Amount
-	answer         []byte
+	request          CallRequest
+	state            CallState
+	attempt          uint32
+	abandonRequested bool
+	mayHaveRun       bool
+	engine           structs.EngineID
+	key              string
+	reserve, spent   structs.Amount
+	answer           []byte
 }
 
-// effect is what a command does to the oracle, and why it is refused: a
-// failure's type or "repeat".
+// effect is what a command does to the oracle, or why it is refused: the type
+// of a failure, or "repeat".
 type effect struct {
-	refused failure.Type
+	refusal failure.Type
 	apply   func()
 }
 
-func refusedAs(kind failure.Type) effect { return effect{refused: kind} }
+func refusedWith(kind failure.Type) effect { return effect{refusal: kind} }
 
-var repeat = effect{refused: "repeat"}
+var repeatEffect = effect{refusal: "repeat"}
 
-func (p *oracleProgram) started() *oracleCall {
+func (p *oracleProgram) startedCall() *oracleCall {
 	for _, call := range p.calls {
 		if call.state == Started {
 			return call
@@ -56,12 +56,13 @@
 	return nil
 }
 
-// settled says that nothing of the program can spend any more.
+// settled reports whether neither the program nor its sub-agents can spend
+// anything more.
 func (p *oracleProgram) settled() bool {
-	return p.ended && p.started() == nil && !slices.ContainsFunc(p.children, func(c *oracleProgram) bool { return !c.settled() })
+	return p.ended && p.startedCall() == nil && !slices.ContainsFunc(p.children, func(c *oracleProgram) bool { return !c.settled() })
 }
 
-// spent is what the program and its settled children spent.
+// spent returns what the program and its settled children spent.
 func (p *oracleProgram) spent() structs.Amount {
 	sum := structs.Amount{}
 	for _, call := range p.calls {
@@ -75,21 +76,21 @@
 	return sum
 }
 
-func (p *oracleProgram) left() structs.Amount {
-	left := p.request.Budget.Minus(p.spent())
-	if call := p.started(); call != nil {
-		left = left.Minus(call.reserve)
+func (p *oracleProgram) remaining() structs.Amount {
+	remaining := p.request.Budget.Minus(p.spent())
+	if call := p.startedCall(); call != nil {
+		remaining = remaining.Minus(call.reserve)
 	}
 	for _, child := range p.children {
 		if !child.settled() {
-			left = left.Minus(child.request.Budget)
+			remaining = remaining.Minus(child.request.Budget)
 		}
 	}
-	return left
+	return remaining
 }
 
-// next is the lowest number whose call is missing or has no outcome yet.
-func (p *oracleProgram) next(done func(*oracleCall) bool) structs.CallNumber {
+// firstNumberNot returns the lowest number whose call is missing or not done.
+func (p *oracleProgram) firstNumberNot(done func(*oracleCall) bool) structs.CallNumber {
 	number := structs.CallNumber(1)
 	for p.calls[number] != nil && done(p.calls[number]) {
 		number++
@@ -98,12 +99,12 @@
 }
 
 func (p *oracleProgram) cursor() structs.CallNumber {
-	return p.next(func(c *oracleCall) bool { return c.state.Final() })
+	return p.firstNumberNot(func(c *oracleCall) bool { return c.state.Final() })
 }
 
-func (p *oracleProgram) touch(now time.Time) {
-	if now.After(p.activity) {
-		p.activity = now
+func (p *oracleProgram) recordActivity(now time.Time) {
+	if now.After(p.lastActivity) {
+		p.lastActivity = now
 	}
 }
 
@@ -111,29 +112,29 @@
 	if p := o[r.ID]; p != nil {
 		switch {
 		case p.removed:
-			return refusedAs("program_ended")
+			return refusedWith("program_ended")
 		case p.request.Hash != r.Hash:
-			return refusedAs("call_conflict")
+			return refusedWith("call_conflict")
 		}
-		return repeat
+		return repeatEffect
 	}
 	parent := o[r.Parent]
 	if r.Parent != "" {
 		switch {
 		case parent == nil || parent.removed:
-			return refusedAs("unknown_program")
+			return refusedWith("unknown_program")
 		case parent.ended:
-			return refusedAs("program_ended")
-		case !r.Budget.Within(parent.left()):
-			return refusedAs("budget_exceeded")
+			return refusedWith("program_ended")
+		case !r.Budget.Within(parent.remaining()):
+			return refusedWith("budget_exceeded")
 		}
 	}
 	return effect{apply: func() {
-		o[r.ID] = &oracleProgram{request: r, parent: parent, activity: now,
+		o[r.ID] = &oracleProgram{request: r, parent: parent, lastActivity: now,
 			calls: map[structs.CallNumber]*oracleCall{}, holds: map[structs.EngineID]bool{}}
 		if parent != nil {
 			parent.children = append(parent.children, o[r.ID])
-			parent.touch(now)
+			parent.recordActivity(now)
 		}
 	}}
 }
@@ -143,19 +144,19 @@
 	earlier := p.calls[r.Number]
 	switch {
 	case p.removed:
-		return refusedAs("unknown_program")
+		return refusedWith("unknown_program")
 	case earlier != nil && earlier.request.Hash != r.Hash:
-		return refusedAs("call_conflict")
+		return refusedWith("call_conflict")
 	case earlier != nil:
-		return repeat
+		return repeatEffect
 	case p.ended:
-		return refusedAs("program_ended")
-	case r.Number > MaxEarlyCalls+p.next(func(*oracleCall) bool { return true }):
-		return refusedAs("wrong_order")
+		return refusedWith("program_ended")
+	case r.Number > MaxEarlyCalls+p.firstNumberNot(func(*oracleCall) bool { return true }):
+		return refusedWith("wrong_order")
 	}
 	return effect{apply: func() {
 		p.calls[r.Number] = &oracleCall{request: r, state: state}
-		p.touch(now)
+		p.recordActivity(now)
 	}}
 }
 
@@ -166,17 +167,17 @@
 	reserve.Turns = 1
 	switch {
 	case p.removed:
-		return refusedAs("unknown_program")
+		return refusedWith("unknown_program")
 	case call == nil:
-		return refusedAs("unknown_call")
+		return refusedWith("unknown_call")
 	case p.ended:
-		return refusedAs("program_ended")
+		return refusedWith("program_ended")
 	case call.state != Accepted:
-		return refusedAs("call_conflict")
+		return refusedWith("call_conflict")
 	case p.cursor() != r.Number:
-		return refusedAs("wrong_order")
-	case !reserve.Within(p.left()):
-		return refusedAs("budget_exceeded")
+		return refusedWith("wrong_order")
+	case !reserve.Within(p.remaining()):
+		return refusedWith("budget_exceeded")
 	}
 	return effect{apply: func() {
 		call.state, call.key, call.reserve, call.engine = Started, r.DispatchKey, reserve, ""
@@ -185,28 +186,28 @@
 			call.engine = structs.EngineID(r.TargetID)
 			p.holds[call.engine] = true
 		}
-		p.touch(now)
+		p.recordActivity(now)
 	}}
 }
 
-// settle ends the attempt under way; then says what becomes of the call.
-func (o oracle) settle(now time.Time, id structs.ProgramID, number structs.CallNumber, attempt uint32, spent structs.Amount, then func(*oracleCall)) effect {
+// settleAttempt ends the started attempt and calls updateCall to update the call.
+func (o oracle) settleAttempt(now time.Time, id structs.ProgramID, number structs.CallNumber, attempt uint32, spent structs.Amount, updateCall func(*oracleCall)) effect {
 	p := o[id]
 	call := p.calls[number]
 	switch {
 	case p.removed:
-		return refusedAs("unknown_program")
+		return refusedWith("unknown_program")
 	case call == nil:
-		return refusedAs("unknown_call")
+		return refusedWith("unknown_call")
 	case attempt == 0 || call.attempt != attempt:
-		return refusedAs("call_conflict")
+		return refusedWith("call_conflict")
 	case call.state != Started:
-		return repeat
+		return repeatEffect
 	}
 	return effect{apply: func() {
-		call.spent = call.spent.Plus(capped(spent, call.reserve))
-		then(call)
-		p.touch(now)
+		call.spent = call.spent.Plus(clampAmount(spent, call.reserve))
+		updateCall(call)
+		p.recordActivity(now)
 	}}
 }
 
@@ -215,10 +216,10 @@
 	call := p.calls[r.Number]
 	r.Spent.Turns = 0
 	if p.removed || call == nil || (r.Attempt != 0 && (!r.GivenUp || call.repeatable())) {
-		return o.settle(now, r.Program, r.Number, r.Attempt, r.Spent, func(call *oracleCall) {
+		return o.settleAttempt(now, r.Program, r.Number, r.Attempt, r.Spent, func(call *oracleCall) {
 			call.mayHaveRun = call.mayHaveRun || r.GivenUp
 			switch {
-			case call.abandon || p.ended:
+			case call.abandonRequested || p.ended:
 				call.state = Cancelled
 			case r.Final:
 				call.state = Refused
@@ -229,15 +230,15 @@
 	}
 	switch {
 	case r.GivenUp && !call.repeatable(), !r.Final:
-		return refusedAs("malformed_request")
+		return refusedWith("malformed_request")
 	case call.state == Started:
-		return refusedAs("call_conflict")
+		return refusedWith("call_conflict")
 	case call.state.Final():
-		return repeat
+		return repeatEffect
 	}
 	return effect{apply: func() {
 		call.state = Refused
-		p.touch(now)
+		p.recordActivity(now)
 	}}
 }
 
@@ -248,20 +249,20 @@
 	call := p.calls[number]
 	switch {
 	case p.removed:
-		return refusedAs("unknown_program")
+		return refusedWith("unknown_program")
 	case call == nil:
-		return refusedAs("unknown_call")
-	case call.state != Accepted && (call.state != Started || !call.repeatable() || call.abandon):
-		return repeat
+		return refusedWith("unknown_call")
+	case call.state != Accepted && (call.state != Started || !call.repeatable() || call.abandonRequested):
+		return repeatEffect
 	}
 	return effect{apply: func() {
-		call.stop()
-		p.touch(now)
+		call.cancel()
+		p.recordActivity(now)
 	}}
 }
 
-func (c *oracleCall) stop() {
-	c.abandon = c.abandon || (c.state == Started && c.repeatable())
+func (c *oracleCall) cancel() {
+	c.abandonRequested = c.abandonRequested || (c.state == Started && c.repeatable())
 	if c.state == Accepted {
 		c.state = Cancelled
 	}
@@ -271,9 +272,9 @@
 	p := o[id]
 	switch {
 	case p.removed:
-		return refusedAs("unknown_program")
+		return refusedWith("unknown_program")
 	case p.ended:
-		return repeat
+		return repeatEffect
 	}
 	return effect{apply: func() { p.end(now) }}
 }
@@ -283,24 +284,24 @@
 		return
 	}
 	p.ended, p.endedAt = true, now
-	p.touch(now)
+	p.recordActivity(now)
 	for call := range maps.Values(p.calls) {
-		call.stop()
+		call.cancel()
 	}
 	for _, child := range p.children {
 		child.end(now)
 	}
 }
 
-func (o oracle) released(id structs.ProgramID, engine structs.EngineID) effect {
+func (o oracle) releaseHold(id structs.ProgramID, engine structs.EngineID) effect {
 	p := o[id]
-	switch call := p.started(); {
+	switch call := p.startedCall(); {
 	case p.removed:
-		return refusedAs("unknown_program")
+		return refusedWith("unknown_program")
 	case !p.holds[engine]:
-		return repeat
+		return repeatEffect
 	case call != nil && call.engine == engine:
-		return refusedAs("call_conflict")
+		return refusedWith("call_conflict")
 	}
 	return effect{apply: func() { delete(p.holds, engine) }}
 }
@@ -309,9 +310,9 @@
 	p := o[id]
 	switch {
 	case p.removed:
-		return refusedAs("unknown_program")
+		return refusedWith("unknown_program")
 	case !p.settled() || len(p.holds) > 0 || now.Before(p.endedAt.Add(RetentionTime)):
-		return refusedAs("call_conflict")
+		return refusedWith("call_conflict")
 	}
 	return effect{apply: func() { p.removed = true }}
 }
--- a/internal/program/convert.go
+++ b/internal/program/proto.go
@@ -6,7 +6,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-func amountFrom(message *programv1.Amount) structs.Amount {
+func amountFromProto(message *programv1.Amount) structs.Amount {
 	return structs.Amount{
 		Tokens:       message.GetTokens(),
 		CostMicros:   message.GetCostMicros(),
@@ -15,7 +15,7 @@
 	}
 }
 
-func amountMessage(a structs.Amount) *programv1.Amount {
+func amountToProto(a structs.Amount) *programv1.Amount {
 	return &programv1.Amount{
 		Tokens:       a.Tokens,
 		CostMicros:   a.CostMicros,
@@ -24,8 +24,9 @@
 	}
 }
 
-// capped returns a with every member between zero and that of limit.
-func capped(a, limit structs.Amount) structs.Amount {
+// clampAmount returns a with every member limited to the range from 0 to the
+// same member of limit.
+func clampAmount(a, limit structs.Amount) structs.Amount {
 	return structs.Amount{
 		Tokens:       min(max(a.Tokens, 0), limit.Tokens),
 		CostMicros:   min(max(a.CostMicros, 0), limit.CostMicros),
@@ -34,8 +35,8 @@
 	}
 }
 
-// checkBudget returns nil or a *failure.BudgetExceeded that names the first
-// member of asked that exceeds left.
+// checkBudget returns nil, or a *failure.BudgetExceeded for the first member
+// of asked that exceeds the same member of left.
 func checkBudget(asked, left structs.Amount) error {
 	members := []struct {
 		name        string
@@ -54,7 +55,7 @@
 	return nil
 }
 
-func kindMessage(kind CallKind) programv1.CallKind {
+func kindToProto(kind CallKind) programv1.CallKind {
 	switch kind {
 	case ModelCall:
 		return programv1.CallKind_CALL_KIND_MODEL
@@ -65,15 +66,16 @@
 	}
 }
 
-func kindFrom(kind programv1.CallKind) CallKind {
+func kindFromProto(kind programv1.CallKind) CallKind {
 	if kind == programv1.CallKind_CALL_KIND_TOOL {
 		return ToolCall
 	}
 	return ModelCall
 }
 
-// texts converts between the string types of records and of structs.
-func texts[To, From ~string](from []From) []To {
+// convertStrings converts between the string types of records and those of
+// structs.
+func convertStrings[To, From ~string](from []From) []To {
 	if len(from) == 0 {
 		return nil
 	}
--- a/internal/program/read.go
+++ b/internal/program/read.go
@@ -8,31 +8,32 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// ProgramName returns the state of the tenant's program.
-// The error is a *failure.UnknownProgram.
+// Status returns the status of the tenant's program. The error is a
+// *failure.UnknownProgram.
 func (m *Machine) Status(tenant structs.TenantID, id structs.ProgramID) (Status, error) {
-	found, err := m.find(tenant, id)
+	p, err := m.find(tenant, id)
 	if err != nil {
 		return Status{}, err
 	}
-	return found.status(), nil
+	return p.status(), nil
 }
 
-// StatusForAnyTenant returns the state of a program whoever its tenant is, for duties.
+// StatusForAnyTenant returns the status of a program regardless of its tenant.
+// Leader tasks use it.
 func (m *Machine) StatusForAnyTenant(id structs.ProgramID) (Status, bool) {
-	found, ok := m.programs[id]
+	p, ok := m.programs[id]
 	if !ok {
 		return Status{}, false
 	}
-	return found.status(), true
+	return p.status(), true
 }
 
 func (p *program) status() Status {
 	return Status{
 		ID:             p.id,
 		Tenant:         p.tenant(),
-		ProgramName:    structs.ProgramName(p.opened.GetProgramName()),
-		IdempotencyKey: p.opened.GetIdempotencyKey(),
+		ProgramName:    structs.ProgramName(p.openedRecord.GetProgramName()),
+		IdempotencyKey: p.openedRecord.GetIdempotencyKey(),
 		State:          p.state(),
 		Cause:          p.cause,
 		NextCall:       p.nextNumber(),
@@ -40,154 +41,155 @@
 		Spent:          p.totalSpent(),
 		Reserved:       p.reserved,
 		Granted:        p.granted,
-		Remaining:      p.left(),
-		OpenedAt:       timeFrom(p.openedAt),
-		LastActivityAt: timeFrom(p.activity),
-		Deadline:       timeFrom(p.opened.GetDeadlineUnixMs()),
-		IdleTimeout:    time.Duration(p.opened.GetIdleMs()) * time.Millisecond,
-		HistoryZones:   texts[structs.ZoneName](p.opened.GetHistoryZones()),
-		CacheZones:     texts[structs.ZoneName](p.opened.GetCacheZones()),
+		Remaining:      p.remaining(),
+		OpenedAt:       timeFromUnixMs(p.openedAt),
+		LastActivityAt: timeFromUnixMs(p.lastActivity),
+		Deadline:       timeFromUnixMs(p.openedRecord.GetDeadlineUnixMs()),
+		IdleTimeout:    time.Duration(p.openedRecord.GetIdleMs()) * time.Millisecond,
+		HistoryZones:   convertStrings[structs.ZoneName](p.openedRecord.GetHistoryZones()),
+		CacheZones:     convertStrings[structs.ZoneName](p.openedRecord.GetCacheZones()),
 		Parent:         p.parent(),
-		Children:       sortedChildren(p),
-		Priority:       int(p.opened.GetPriority()),
+		Children:       sortedChildIDs(p),
+		Priority:       int(p.openedRecord.GetPriority()),
 		HistoryTokens:  p.historyTokens,
 	}
 }
 
 // RunnableCall returns the one call of the program that may be started now.
 func (m *Machine) RunnableCall(id structs.ProgramID) (*Call, bool) {
-	found, ok := m.programs[id]
-	if !ok || found.current() == nil {
+	p, ok := m.programs[id]
+	if !ok || p.currentCall() == nil {
 		return nil, false
 	}
-	issued := found.startable(structs.CallNumber(found.cursor + 1))
-	if issued == nil {
+	c := p.startableCall(structs.CallNumber(p.cursor + 1))
+	if c == nil {
 		return nil, false
 	}
-	view := found.viewCall(issued)
+	view := p.callView(c)
 	return view, view.InputError == nil
 }
 
-// Call returns a call that was accepted.
+// Call returns an accepted call.
 func (m *Machine) Call(id structs.ProgramID, number structs.CallNumber) (*Call, bool) {
-	found, issued, err := m.findCall(id, number)
+	p, c, err := m.findCall(id, number)
 	if err != nil {
 		return nil, false
 	}
-	return found.viewCall(issued), true
+	return p.callView(c), true
 }
 
-// StartedCall returns the call when the attempt with that key is the one under
-// way. Only then may the attempt be sent, and only by who proposed it.
+// StartedCall returns the call if its started attempt has this dispatch key.
+// An attempt may be sent only if this confirms it, and only by the daemon that
+// proposed it.
 func (m *Machine) StartedCall(id structs.ProgramID, number structs.CallNumber, dispatchKey string) (*Call, bool) {
-	found, issued, err := m.findCall(id, number)
-	if err != nil || issued.state != Started || issued.dispatchKey != dispatchKey {
+	p, c, err := m.findCall(id, number)
+	if err != nil || c.state != Started || c.dispatchKey != dispatchKey {
 		return nil, false
 	}
-	view := found.viewCall(issued)
+	view := p.callView(c)
 	return view, view.InputError == nil
 }
 
-func (p *program) viewCall(issued *call) *Call {
+func (p *program) callView(c *call) *Call {
 	view := &Call{
 		Program:          p.id,
-		Number:           structs.CallNumber(issued.accepted.GetNumber()),
-		Kind:             kindFrom(issued.accepted.GetKind()),
-		Target:           issued.accepted.GetTarget(),
-		Adapter:          issued.accepted.GetAdapter(),
-		Repeatable:       issued.accepted.GetRepeatable(),
-		MaxAnswerTokens:  issued.accepted.GetMaxAnswerTokens(),
-		ExpectedPause:    time.Duration(issued.accepted.GetExpectedPauseMs()) * time.Millisecond,
-		State:            issued.state,
-		Attempt:          issued.attempt,
-		AbandonRequested: issued.abandon,
-		DispatchKey:      issued.dispatchKey,
-	}
-	view.Input, view.InputError = unpack(issued.accepted.GetInput())
-	if issued.state == Started {
-		view.TargetID = issued.started.GetTargetId()
-		view.TargetIncarnation = structs.Incarnation(issued.started.GetTargetIncarnation())
-		view.TargetAddress = issued.started.GetTargetAddress()
+		Number:           structs.CallNumber(c.acceptedRecord.GetNumber()),
+		Kind:             kindFromProto(c.acceptedRecord.GetKind()),
+		Target:           c.acceptedRecord.GetTarget(),
+		Adapter:          c.acceptedRecord.GetAdapter(),
+		Repeatable:       c.acceptedRecord.GetRepeatable(),
+		MaxAnswerTokens:  c.acceptedRecord.GetMaxAnswerTokens(),
+		ExpectedPause:    time.Duration(c.acceptedRecord.GetExpectedPauseMs()) * time.Millisecond,
+		State:            c.state,
+		Attempt:          c.attempt,
+		AbandonRequested: c.abandonRequested,
+		DispatchKey:      c.dispatchKey,
+	}
+	view.Input, view.InputError = decodeText(c.acceptedRecord.GetInput())
+	if c.state == Started {
+		view.TargetID = c.startedRecord.GetTargetId()
+		view.TargetIncarnation = structs.Incarnation(c.startedRecord.GetTargetIncarnation())
+		view.TargetAddress = c.startedRecord.GetTargetAddress()
 		view.Reserved = p.reserved
-		view.StartedAt = timeFrom(issued.startedAt)
+		view.StartedAt = timeFromUnixMs(c.startedAt)
 	}
 	return view
 }
 
-// CallResult returns what is known of a call's outcome. Errors:
+// CallResult returns what is known about the outcome of a call. Errors:
 // *failure.UnknownProgram, *failure.UnknownCall, *BadEncoding.
 func (m *Machine) CallResult(tenant structs.TenantID, id structs.ProgramID, number structs.CallNumber) (CallResult, error) {
-	found, err := m.find(tenant, id)
+	p, err := m.find(tenant, id)
 	if err != nil {
 		return CallResult{}, err
 	}
-	issued := found.call(number)
-	if issued == nil {
+	c := p.call(number)
+	if c == nil {
 		return CallResult{}, &failure.UnknownCall{Number: uint32(number)}
 	}
-	text, err := unpack(issued.answer)
+	text, err := decodeText(c.answer)
 	if err != nil {
 		return CallResult{}, err
 	}
 	return CallResult{
 		Number:        number,
-		Kind:          kindFrom(issued.accepted.GetKind()),
-		State:         issued.state,
-		Attempt:       issued.attempt,
+		Kind:          kindFromProto(c.acceptedRecord.GetKind()),
+		State:         c.state,
+		Attempt:       c.attempt,
 		Answer:        text,
-		PromptTokens:  issued.promptTokens,
-		AnswerTokens:  issued.answerTokens,
-		ReusedTokens:  issued.reusedTokens,
-		Spent:         issued.spent,
-		FailureType:   failure.Type(issued.failureType),
-		FailureDetail: issued.failureDetail,
-		Outcome:       issued.outcome(),
+		PromptTokens:  c.promptTokens,
+		AnswerTokens:  c.answerTokens,
+		ReusedTokens:  c.reusedTokens,
+		Spent:         c.spent,
+		FailureType:   failure.Type(c.failureType),
+		FailureDetail: c.failureDetail,
+		Outcome:       c.outcome(),
 	}, nil
 }
 
-// History returns the finished calls of a program in their order: the prompt
-// of its next model call. Calls that failed, were refused or cancelled are no
-// part of it. Errors: *failure.UnknownProgram, *BadEncoding.
+// History returns the finished calls of a program in order: the prompt of its
+// next model call. It does not include calls that failed, were refused or were
+// cancelled. Errors: *failure.UnknownProgram, *BadEncoding.
 func (m *Machine) History(id structs.ProgramID) ([]Turn, error) {
-	packed, err := m.EncodedHistory(id)
+	encoded, err := m.EncodedHistory(id)
 	if err != nil {
 		return nil, err
 	}
-	return packed.Turns()
+	return encoded.Turns()
 }
 
-// EncodedHistory is a program's history as the machine keeps it. Nothing that it
-// refers to is ever changed, so that it may be unpacked while the machine goes
-// on.
-type EncodedHistory struct{ turns []packedTurn }
+// EncodedHistory is a program's history as the machine stores it. The data
+// that it refers to is immutable, so it may be decoded while the machine
+// changes.
+type EncodedHistory struct{ turns []encodedTurn }
 
-// packedTurn refers to a finished call's texts.
-type packedTurn struct {
+// encodedTurn refers to the texts of a finished call.
+type encodedTurn struct {
 	accepted *programv1.CallAccepted
 	answer   []byte
 }
 
-// EncodedHistory returns what History unpacks, at a cost that does not depend on
-// the size of the texts. The error is a *failure.UnknownProgram.
+// EncodedHistory returns the history that History decodes, at a cost that does
+// not depend on the size of the texts. The error is a *failure.UnknownProgram.
 func (m *Machine) EncodedHistory(id structs.ProgramID) (EncodedHistory, error) {
-	found, err := m.findAny(id)
+	p, err := m.findForAnyTenant(id)
 	if err != nil {
 		return EncodedHistory{}, err
 	}
-	packed := EncodedHistory{turns: make([]packedTurn, 0, found.cursor)}
-	for _, issued := range found.calls[:found.cursor] {
-		if issued.state == Finished {
-			packed.turns = append(packed.turns, packedTurn{accepted: issued.accepted, answer: issued.answer})
+	encoded := EncodedHistory{turns: make([]encodedTurn, 0, p.cursor)}
+	for _, c := range p.calls[:p.cursor] {
+		if c.state == Finished {
+			encoded.turns = append(encoded.turns, encodedTurn{accepted: c.acceptedRecord, answer: c.answer})
 		}
 	}
-	return packed, nil
+	return encoded, nil
 }
 
-// Turns unpacks the history. The error is a *BadEncoding.
+// Turns decodes the history. The error is a *BadEncoding.
 func (h EncodedHistory) Turns() ([]Turn, error) {
 	var turns []Turn
-	for _, packed := range h.turns {
-		turn, err := packed.unpack()
+	for _, encoded := range h.turns {
+		turn, err := encoded.decode()
 		if err != nil {
 			return nil, err
 		}
@@ -196,18 +198,18 @@
 	return turns, nil
 }
 
-func (t packedTurn) unpack() (Turn, error) {
-	input, err := unpack(t.accepted.GetInput())
+func (t encodedTurn) decode() (Turn, error) {
+	input, err := decodeText(t.accepted.GetInput())
 	if err != nil {
 		return Turn{}, err
 	}
-	answer, err := unpack(t.answer)
+	answer, err := decodeText(t.answer)
 	if err != nil {
 		return Turn{}, err
 	}
 	return Turn{
 		Number: structs.CallNumber(t.accepted.GetNumber()),
-		Kind:   kindFrom(t.accepted.GetKind()),
+		Kind:   kindFromProto(t.accepted.GetKind()),
 		Target: t.accepted.GetTarget(),
 		Input:  input,
 		Answer: answer,
--- a/internal/program/removed.go
+++ b/internal/program/removed.go
@@ -2,10 +2,10 @@
 
 import "github.com/barleyshelf/barleyshelf/internal/structs"
 
-// removedPrograms remembers the ids of removed programs for RemovedTime.
+// removedPrograms keeps the IDs of removed programs for RemovedTime.
 type removedPrograms struct {
 	times map[structs.ProgramID]int64
-	// order holds the same ids, oldest removal first.
+	// order holds the same IDs, oldest removal first.
 	order []structs.ProgramID
 }
 
@@ -18,11 +18,11 @@
 	return found
 }
 
-// add remembers the id and forgets those whose time is over.
-func (r *removedPrograms) add(id structs.ProgramID, unixMilliseconds int64) {
-	r.times[id] = unixMilliseconds
+// add adds the ID and drops the IDs that are older than RemovedTime.
+func (r *removedPrograms) add(id structs.ProgramID, unixMs int64) {
+	r.times[id] = unixMs
 	r.order = append(r.order, id)
-	oldest := unixMilliseconds - RemovedTime.Milliseconds()
+	oldest := unixMs - RemovedTime.Milliseconds()
 	for len(r.order) > 0 && r.times[r.order[0]] < oldest {
 		delete(r.times, r.order[0])
 		r.order = r.order[1:]
--- a/internal/program/request.go
+++ b/internal/program/request.go
@@ -8,7 +8,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// CallKind says what a call is sent to.
+// CallKind is the kind of target that a call is sent to.
 type CallKind string
 
 // The kinds of calls.
@@ -17,7 +17,7 @@
 	ToolCall  CallKind = "tool"
 )
 
-// Causes of a program's end.
+// Causes for which a program ended.
 const (
 	CauseEnded    = "ended"
 	CauseIdle     = "idle"
@@ -27,12 +27,13 @@
 	CauseParent   = "parent_ended"
 )
 
-// Decision is what a request leads to. Its records take effect when they are
-// committed and applied, not before.
+// Decision is the result of a request. Its records take effect only when they
+// are committed and applied.
 type Decision struct {
 	// Records are proposed together, in this order, as one RecordBatch.
 	Records []*programv1.Record
-	// Repeat says that nothing needs to be proposed: the state already answers.
+	// Repeat is set if nothing needs to be proposed because the state already
+	// answers the request.
 	Repeat bool
 }
 
@@ -46,19 +47,22 @@
 	ID          structs.ProgramID
 	Tenant      structs.TenantID
 	ProgramName structs.ProgramName
-	// IdempotencyKey is the caller's idempotency key.
+	// IdempotencyKey is chosen by the caller.
 	IdempotencyKey string
 	Budget         structs.Amount
-	// Deadline ends the whole program; the zero time means none.
+	// Deadline is when the whole program is ended. The zero time means no
+	// deadline.
 	Deadline time.Time
-	// IdleTimeout ends a program without activity for so long; 0 means never.
+	// IdleTimeout is the time without activity after which the program is
+	// ended. 0 means no timeout.
 	IdleTimeout  time.Duration
 	HistoryZones []structs.ZoneName
 	CacheZones   []structs.ZoneName
 	// Parent is the program that opens this one as its sub-agent, or empty.
 	Parent   structs.ProgramID
 	Priority int
-	// Hash covers the content of the opening, to tell a repeat from a conflict.
+	// Hash covers the content of the opening. It distinguishes a repeat from a
+	// conflict.
 	Hash uint64
 }
 
@@ -68,16 +72,17 @@
 	Tenant  structs.TenantID
 	Number  structs.CallNumber
 	Kind    CallKind
-	// Target is the model or tool name.
+	// Target is the name of the model or tool.
 	Target     string
 	Adapter    string
 	Repeatable bool
-	// Input is the prompt's new part or the tool's arguments.
+	// Input is the new part of the prompt, or the tool's arguments.
 	Input           []byte
 	MaxAnswerTokens int64
-	// ExpectedPause is the caller's hint of the pause after the answer.
+	// ExpectedPause is the caller's estimate of the pause after the answer.
 	ExpectedPause time.Duration
-	// Hash covers the content of the call, to tell a repeat from a conflict.
+	// Hash covers the content of the call. It distinguishes a repeat from a
+	// conflict.
 	Hash uint64
 }
 
@@ -85,18 +90,19 @@
 type StartRequest struct {
 	Program structs.ProgramID
 	Number  structs.CallNumber
-	// TargetID is the engine or tool.
+	// TargetID identifies the engine or tool.
 	TargetID          string
 	TargetIncarnation structs.Incarnation
 	TargetAddress     string
-	// DispatchKey is the engine stream id or the tool's idempotency key. It is
-	// unique to the attempt; only the attempts of a repeatable tool call may
-	// share one.
+	// DispatchKey is the engine's stream ID or the tool's idempotency key. It
+	// is unique to the attempt, except that the attempts of a repeatable tool
+	// call may share one key.
 	DispatchKey string
-	// Reserve is the upper bound of what the attempt can cost. The machine sets
-	// its Turns to 1.
+	// Reserve is the upper bound of the attempt's cost. The machine sets its
+	// Turns to 1.
 	Reserve structs.Amount
-	// MayCache says that the target may cache for the program from here on.
+	// MayCache is set if the target may cache data for the program from now
+	// on. A hold is then recorded.
 	MayCache bool
 }
 
@@ -109,27 +115,28 @@
 	PromptTokens int64
 	AnswerTokens int64
 	ReusedTokens int64
-	// Spent is the real cost; it is capped at the reservation. The machine sets
+	// Spent is the actual cost, limited to the reservation. The machine sets
 	// its Turns to 1.
 	Spent structs.Amount
-	// FailureType is set where the call ran and failed.
+	// FailureType is set if the call ran and failed.
 	FailureType   failure.Type
 	FailureDetail string
 }
 
-// NotRunRequest takes back an attempt, or refuses a call that was never sent.
+// NotRunRequest ends an attempt that did not run or was given up, or refuses a
+// call that was never sent.
 type NotRunRequest struct {
 	Program structs.ProgramID
 	Number  structs.CallNumber
-	// Attempt is the attempt under way, or 0 for a call that was not started.
+	// Attempt is the started attempt, or 0 for a call that was not started.
 	Attempt uint32
-	// Spent is what the attempt cost; its Turns are ignored. It must be zero,
-	// save for Milliseconds, where GivenUp is false.
+	// Spent is the cost of the attempt. Its Turns are ignored. If GivenUp is
+	// false, all members but Milliseconds must be 0.
 	Spent structs.Amount
-	// GivenUp says that the attempt may have run, wholly or in part. It is
-	// refused for a call that is not repeatable.
+	// GivenUp is set if the attempt may have run, wholly or in part. It is
+	// rejected for a call that is not repeatable.
 	GivenUp bool
-	// Final ends the call; otherwise it may be started again.
+	// Final ends the call. Otherwise the call may be started again.
 	Final         bool
 	FailureType   failure.Type
 	FailureDetail string
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -11,13 +11,14 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// snapshotFormat is the format that Snapshot writes and Restore takes.
+// snapshotFormat is the format that Snapshot writes and Restore accepts.
 const snapshotFormat = 1
 
-// callStates numbers the states of calls in snapshots. Append only.
+// callStates assigns the numbers of call states in snapshots. Only append to
+// it.
 var callStates = []CallState{Accepted, Started, Finished, Failed, OutcomeUnknown, Refused, Cancelled}
 
-// BadSnapshot reports a snapshot that this release cannot take.
+// BadSnapshot reports a snapshot that this release cannot read.
 type BadSnapshot struct{ Reason string }
 
 func (e *BadSnapshot) Error() string { return fmt.Sprintf("snapshot of programs: %s", e.Reason) }
@@ -25,10 +26,10 @@
 // Type returns "bad_snapshot".
 func (e *BadSnapshot) Type() failure.Type { return "bad_snapshot" }
 
-// Outcome returns RecordNotRun.
+// Outcome returns failure.NotRun.
 func (e *BadSnapshot) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry returns that a repeat cannot succeed.
+// Retry returns the zero value: a retry cannot succeed.
 func (e *BadSnapshot) Retry() failure.Retry { return failure.Retry{} }
 
 // Snapshot returns the whole state. Equal states give equal bytes.
@@ -39,7 +40,7 @@
 		Applied: m.applied,
 	}
 	for _, id := range m.sortedIDs() {
-		snapshot.Programs = append(snapshot.Programs, m.programs[id].message())
+		snapshot.Programs = append(snapshot.Programs, m.programs[id].toProto())
 	}
 	for _, id := range m.removed.order {
 		entry := &programv1.RemovedProgram{ProgramId: string(id), RemovedUnixMs: m.removed.times[id]}
@@ -57,38 +58,38 @@
 	return ids
 }
 
-func (p *program) message() *programv1.ProgramState {
+func (p *program) toProto() *programv1.ProgramState {
 	state := &programv1.ProgramState{
 		Id:             string(p.id),
-		Opened:         p.opened,
+		Opened:         p.openedRecord,
 		OpenedUnixMs:   p.openedAt,
-		ActivityUnixMs: p.activity,
-		Spent:          amountMessage(p.spent),
-		Reserved:       amountMessage(p.reserved),
-		Granted:        amountMessage(p.granted),
-		ChildrenSpent:  amountMessage(p.childrenSpent),
+		ActivityUnixMs: p.lastActivity,
+		Spent:          amountToProto(p.spent),
+		Reserved:       amountToProto(p.reserved),
+		Granted:        amountToProto(p.granted),
+		ChildrenSpent:  amountToProto(p.childrenSpent),
 		Ended:          p.ended,
 		Cause:          p.cause,
 		EndedUnixMs:    p.endedAt,
 		Settled:        p.settled,
 		HistoryTokens:  p.historyTokens,
 	}
-	for _, id := range sortedChildren(p) {
-		grant := &programv1.Grant{ChildId: string(id), Budget: amountMessage(p.children[id])}
+	for _, id := range sortedChildIDs(p) {
+		grant := &programv1.Grant{ChildId: string(id), Budget: amountToProto(p.children[id])}
 		state.Children = append(state.Children, grant)
 	}
-	for _, issued := range p.calls {
-		if issued != nil {
-			state.Calls = append(state.Calls, issued.message())
+	for _, c := range p.calls {
+		if c != nil {
+			state.Calls = append(state.Calls, c.toProto())
 		}
 	}
-	for _, held := range p.holds {
-		state.Holds = append(state.Holds, held.message())
+	for _, h := range p.holds {
+		state.Holds = append(state.Holds, h.toProto())
 	}
 	return state
 }
 
-func (h hold) message() *programv1.EngineHold {
+func (h cacheHold) toProto() *programv1.EngineHold {
 	return &programv1.EngineHold{
 		EngineId:          string(h.engine),
 		EngineIncarnation: uint64(h.incarnation),
@@ -96,28 +97,28 @@
 	}
 }
 
-func (c *call) message() *programv1.CallState {
+func (c *call) toProto() *programv1.CallState {
 	return &programv1.CallState{
-		Accepted:      c.accepted,
+		Accepted:      c.acceptedRecord,
 		State:         uint32(slices.Index(callStates, c.state)),
 		Attempt:       c.attempt,
 		DispatchKey:   c.dispatchKey,
-		Started:       c.started,
+		Started:       c.startedRecord,
 		StartedUnixMs: c.startedAt,
-		Abandon:       c.abandon,
+		Abandon:       c.abandonRequested,
 		MayHaveRun:    c.mayHaveRun,
 		Answer:        c.answer,
 		PromptTokens:  c.promptTokens,
 		AnswerTokens:  c.answerTokens,
 		ReusedTokens:  c.reusedTokens,
-		Spent:         amountMessage(c.spent),
+		Spent:         amountToProto(c.spent),
 		FailureType:   c.failureType,
 		FailureDetail: c.failureDetail,
 	}
 }
 
-// Restore replaces the whole state by a snapshot's. After an error the state
-// is as before. The error is a *BadSnapshot.
+// Restore replaces the whole state with that of a snapshot. After an error the
+// state is unchanged. The error is a *BadSnapshot.
 func (m *Machine) Restore(data []byte) error {
 	var snapshot programv1.Snapshot
 	if err := proto.Unmarshal(data, &snapshot); err != nil {
@@ -146,20 +147,20 @@
 func (m *Machine) restoreProgram(state *programv1.ProgramState) error {
 	p := &program{
 		id:            structs.ProgramID(state.GetId()),
-		opened:        state.GetOpened(),
+		openedRecord:  state.GetOpened(),
 		openedAt:      state.GetOpenedUnixMs(),
-		activity:      state.GetActivityUnixMs(),
+		lastActivity:  state.GetActivityUnixMs(),
 		endedAt:       state.GetEndedUnixMs(),
-		spent:         amountFrom(state.GetSpent()),
-		reserved:      amountFrom(state.GetReserved()),
-		granted:       amountFrom(state.GetGranted()),
-		childrenSpent: amountFrom(state.GetChildrenSpent()),
+		spent:         amountFromProto(state.GetSpent()),
+		reserved:      amountFromProto(state.GetReserved()),
+		granted:       amountFromProto(state.GetGranted()),
+		childrenSpent: amountFromProto(state.GetChildrenSpent()),
 		ended:         state.GetEnded(),
 		cause:         state.GetCause(),
 		settled:       state.GetSettled(),
 		historyTokens: state.GetHistoryTokens(),
 	}
-	p.due.owner = p
+	p.dueEntry.program = p
 	p.restoreLists(state)
 	if err := p.restoreCalls(state.GetCalls()); err != nil {
 		return err
@@ -173,14 +174,14 @@
 	if grants := state.GetChildren(); len(grants) > 0 {
 		p.children = make(map[structs.ProgramID]structs.Amount, len(grants))
 		for _, grant := range grants {
-			p.children[structs.ProgramID(grant.GetChildId())] = amountFrom(grant.GetBudget())
+			p.children[structs.ProgramID(grant.GetChildId())] = amountFromProto(grant.GetBudget())
 		}
 	}
-	for _, held := range state.GetHolds() {
-		p.holds = append(p.holds, hold{
-			engine:      structs.EngineID(held.GetEngineId()),
-			incarnation: structs.Incarnation(held.GetEngineIncarnation()),
-			address:     held.GetEngineAddress(),
+	for _, h := range state.GetHolds() {
+		p.holds = append(p.holds, cacheHold{
+			engine:      structs.EngineID(h.GetEngineId()),
+			incarnation: structs.Incarnation(h.GetEngineIncarnation()),
+			address:     h.GetEngineAddress(),
 		})
 	}
 }
@@ -197,28 +198,28 @@
 		for len(p.calls) < number-1 {
 			p.calls = append(p.calls, nil)
 		}
-		p.calls = append(p.calls, callFrom(state))
+		p.calls = append(p.calls, callFromProto(state))
 	}
-	p.advance()
+	p.advancePositions()
 	return nil
 }
 
-func callFrom(state *programv1.CallState) *call {
+func callFromProto(state *programv1.CallState) *call {
 	return &call{
-		accepted:      state.GetAccepted(),
-		state:         callStates[state.GetState()],
-		attempt:       state.GetAttempt(),
-		started:       state.GetStarted(),
-		startedAt:     state.GetStartedUnixMs(),
-		dispatchKey:   state.GetDispatchKey(),
-		abandon:       state.GetAbandon(),
-		mayHaveRun:    state.GetMayHaveRun(),
-		answer:        state.GetAnswer(),
-		promptTokens:  state.GetPromptTokens(),
-		answerTokens:  state.GetAnswerTokens(),
-		reusedTokens:  state.GetReusedTokens(),
-		spent:         amountFrom(state.GetSpent()),
-		failureType:   state.GetFailureType(),
-		failureDetail: state.GetFailureDetail(),
+		acceptedRecord:   state.GetAccepted(),
+		state:            callStates[state.GetState()],
+		attempt:          state.GetAttempt(),
+		startedRecord:    state.GetStarted(),
+		startedAt:        state.GetStartedUnixMs(),
+		dispatchKey:      state.GetDispatchKey(),
+		abandonRequested: state.GetAbandon(),
+		mayHaveRun:       state.GetMayHaveRun(),
+		answer:           state.GetAnswer(),
+		promptTokens:     state.GetPromptTokens(),
+		answerTokens:     state.GetAnswerTokens(),
+		reusedTokens:     state.GetReusedTokens(),
+		spent:            amountFromProto(state.GetSpent()),
+		failureType:      state.GetFailureType(),
+		failureDetail:    state.GetFailureDetail(),
 	}
 }
--- a/internal/program/state.go
+++ b/internal/program/state.go
@@ -11,51 +11,56 @@
 // program is the state of one program.
 //
 // Invariant: spent + childrenSpent + reserved + granted is within the budget.
-// Invariant: at most the call at the cursor is started.
+// Invariant: no call except the one at the cursor is started.
 type program struct {
-	id     structs.ProgramID
-	opened *programv1.ProgramOpened
-	// openedAt, activity and endedAt are leaders' clocks, Unix milliseconds.
-	openedAt int64
-	activity int64
-	endedAt  int64
+	id           structs.ProgramID
+	openedRecord *programv1.ProgramOpened
+	// openedAt, lastActivity and endedAt are times of the leaders' clocks in
+	// Unix milliseconds.
+	openedAt     int64
+	lastActivity int64
+	endedAt      int64
 
 	spent         structs.Amount
 	reserved      structs.Amount
 	granted       structs.Amount
 	childrenSpent structs.Amount
-	// children are the sub-agents not settled yet, with what each was granted.
-	// A grant whose child was not opened yet has its entry too.
+	// children maps the sub-agents that are not settled yet to their granted
+	// budgets. It includes grants whose child is not opened yet.
 	children map[structs.ProgramID]structs.Amount
 
-	// calls holds call n at n-1; nil where an early call left a gap.
+	// calls holds call n at index n-1. An element is nil if only later calls
+	// were accepted so far.
 	calls []*call
-	// cursor is the index of the first call whose outcome does not stand.
+	// cursor is the index of the first call whose state is not final.
 	cursor int
-	// accepted is the index of the first call that was not accepted.
-	accepted int
-
-	holds         []hold
-	ended         bool
-	cause         string
+	// acceptedPrefix is the number of calls accepted without a gap, which is
+	// also the index of the first call that was not accepted.
+	acceptedPrefix int
+
+	holds []cacheHold
+	ended bool
+	cause string
+	// settled is set once the rest of the budget was returned to the parent.
 	settled       bool
 	historyTokens int64
 
-	due dueEntry
+	dueEntry dueEntry
 }
 
 // call is the state of one call.
 type call struct {
-	accepted *programv1.CallAccepted
-	state    CallState
-	attempt  uint32
-	// started is the attempt under way; nil in every state but Started.
-	started   *programv1.DispatchStarted
-	startedAt int64
+	acceptedRecord *programv1.CallAccepted
+	state          CallState
+	attempt        uint32
+	// startedRecord is the started attempt, or nil in every state but Started.
+	startedRecord *programv1.DispatchStarted
+	startedAt     int64
 	// dispatchKey is the key of the last attempt.
 	dispatchKey string
-	abandon     bool
-	// mayHaveRun says that an attempt was given up that may have run.
+	// abandonRequested is set if the started attempt must be abandoned.
+	abandonRequested bool
+	// mayHaveRun is set if an attempt was given up that may have run.
 	mayHaveRun bool
 
 	answer        []byte
@@ -67,28 +72,29 @@
 	failureDetail string
 }
 
-// hold is memory of one engine's incarnation that the program may occupy.
-type hold struct {
+// cacheHold records that one incarnation of an engine may cache data for the
+// program.
+type cacheHold struct {
 	engine      structs.EngineID
 	incarnation structs.Incarnation
 	address     string
 }
 
-func (p *program) tenant() structs.TenantID { return structs.TenantID(p.opened.GetTenant()) }
+func (p *program) tenant() structs.TenantID { return structs.TenantID(p.openedRecord.GetTenant()) }
 
-func (p *program) parent() structs.ProgramID { return structs.ProgramID(p.opened.GetParentId()) }
+func (p *program) parent() structs.ProgramID { return structs.ProgramID(p.openedRecord.GetParentId()) }
 
-func (p *program) budget() structs.Amount { return amountFrom(p.opened.GetBudget()) }
+func (p *program) budget() structs.Amount { return amountFromProto(p.openedRecord.GetBudget()) }
 
-// totalSpent is what the program and its settled sub-agents spent.
+// totalSpent returns what the program and its settled sub-agents spent.
 func (p *program) totalSpent() structs.Amount { return p.spent.Plus(p.childrenSpent) }
 
-// left is what may still be reserved or granted.
-func (p *program) left() structs.Amount {
+// remaining returns the budget that may still be reserved or granted.
+func (p *program) remaining() structs.Amount {
 	return p.budget().Minus(p.totalSpent()).Minus(p.reserved).Minus(p.granted)
 }
 
-// call returns the call of that number, or nil.
+// call returns the call with this number, or nil.
 func (p *program) call(number structs.CallNumber) *call {
 	if number == 0 || int64(number) > int64(len(p.calls)) {
 		return nil
@@ -96,68 +102,72 @@
 	return p.calls[number-1]
 }
 
-// current returns the call at the cursor, or nil when it was not accepted yet.
-func (p *program) current() *call {
+// currentCall returns the call at the cursor, or nil if it is not accepted
+// yet.
+func (p *program) currentCall() *call {
 	if p.cursor >= len(p.calls) {
 		return nil
 	}
 	return p.calls[p.cursor]
 }
 
-// inFlight returns the call that is started, or nil.
-func (p *program) inFlight() *call {
-	if issued := p.current(); issued != nil && issued.state == Started {
-		return issued
+// startedCall returns the started call, or nil.
+func (p *program) startedCall() *call {
+	if c := p.currentCall(); c != nil && c.state == Started {
+		return c
 	}
 	return nil
 }
 
-// nextNumber is the lowest call number that was not accepted.
-func (p *program) nextNumber() structs.CallNumber { return structs.CallNumber(p.accepted + 1) }
+// nextNumber returns the lowest call number that was not accepted.
+func (p *program) nextNumber() structs.CallNumber { return structs.CallNumber(p.acceptedPrefix + 1) }
 
-// advance moves both positions over what they need not look at again.
-func (p *program) advance() {
-	for p.accepted < len(p.calls) && p.calls[p.accepted] != nil {
-		p.accepted++
+// advancePositions advances acceptedPrefix and cursor past accepted calls and
+// calls with a final state.
+func (p *program) advancePositions() {
+	for p.acceptedPrefix < len(p.calls) && p.calls[p.acceptedPrefix] != nil {
+		p.acceptedPrefix++
 	}
 	for p.cursor < len(p.calls) && p.calls[p.cursor] != nil && p.calls[p.cursor].state.Final() {
 		p.cursor++
 	}
 }
 
-// holdIndex returns the position of the hold, or -1.
+// holdIndex returns the index of the hold, or -1.
 func (p *program) holdIndex(engine structs.EngineID, incarnation structs.Incarnation) int {
-	for i, held := range p.holds {
-		if held.engine == engine && held.incarnation == incarnation {
+	for i, h := range p.holds {
+		if h.engine == engine && h.incarnation == incarnation {
 			return i
 		}
 	}
 	return -1
 }
 
-// state is the program's state as its caller sees it.
+// state returns the program's state as its caller sees it.
 func (p *program) state() State {
 	switch {
 	case !p.ended:
 		return Open
-	case p.inFlight() != nil || len(p.children) > 0:
+	case p.startedCall() != nil || len(p.children) > 0:
 		return Ending
 	default:
 		return Ended
 	}
 }
 
-// touch records activity. Clocks of successive leaders may run backwards;
-// activity does not.
-func (p *program) touch(unixMilliseconds int64) { p.activity = max(p.activity, unixMilliseconds) }
+// recordActivity updates the time of the last activity. Clocks of successive
+// leaders may run backwards, but lastActivity never decreases.
+func (p *program) recordActivity(unixMs int64) {
+	p.lastActivity = max(p.lastActivity, unixMs)
+}
 
-// repeatable reports whether an attempt may be made again after one that may
-// have run. Model calls have no effect outside the program.
+// repeatable reports whether another attempt may follow one that may have run.
+// Model calls have no effect outside the program.
 func (c *call) repeatable() bool {
-	return c.accepted.GetKind() == programv1.CallKind_CALL_KIND_MODEL || c.accepted.GetRepeatable()
+	return c.acceptedRecord.GetKind() == programv1.CallKind_CALL_KIND_MODEL || c.acceptedRecord.GetRepeatable()
 }
 
-// outcome says whether the call ran, or nothing while that is open.
+// outcome reports whether the call ran. It is empty until the state is final.
 func (c *call) outcome() failure.Outcome {
 	switch c.state {
 	case Finished, Failed:
@@ -174,16 +184,16 @@
 	}
 }
 
-func unixMilliseconds(t time.Time) int64 {
+func unixMsFromTime(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.UnixMilli()
 }
 
-func timeFrom(unixMilliseconds int64) time.Time {
-	if unixMilliseconds == 0 {
+func timeFromUnixMs(unixMs int64) time.Time {
+	if unixMs == 0 {
 		return time.Time{}
 	}
-	return time.UnixMilli(unixMilliseconds).UTC()
+	return time.UnixMilli(unixMs).UTC()
 }
--- a/internal/program/view.go
+++ b/internal/program/types.go
@@ -12,19 +12,20 @@
 
 // The states of a program.
 const (
-	// Open programs take calls.
+	// Open programs accept calls.
 	Open State = "open"
-	// Ending programs take no calls; one call that was sent is not settled yet.
+	// Ending programs accept no calls. A started call or a sub-agent is not
+	// settled yet.
 	Ending State = "ending"
-	// ProgramEnded programs have nothing under way.
+	// Ended programs have no started call and no unsettled sub-agent.
 	Ended State = "ended"
 )
 
 // CallState is the state of a call.
 type CallState string
 
-// The states of a call. Accepted and Started are passed through; the others
-// are final.
+// The states of a call. Accepted and Started are intermediate; the others are
+// final.
 const (
 	Accepted       CallState = "accepted"
 	Started        CallState = "started"
@@ -35,10 +36,10 @@
 	Cancelled      CallState = "cancelled"
 )
 
-// Final reports whether the call's outcome stands.
+// Final reports whether the state cannot change any more.
 func (s CallState) Final() bool { return s != Accepted && s != Started }
 
-// Status is a program as its caller may see it.
+// Status is the status of a program as its caller may see it.
 type Status struct {
 	ID             structs.ProgramID
 	Tenant         structs.TenantID
@@ -50,17 +51,17 @@
 	// NextCall is the lowest number that was not accepted yet.
 	NextCall structs.CallNumber
 	Budget   structs.Amount
-	// Spent includes what ended sub-agents spent.
+	// Spent includes what settled sub-agents spent.
 	Spent structs.Amount
-	// Reserved is held for the attempt under way.
+	// Reserved is the budget reserved for the started attempt.
 	Reserved structs.Amount
 	// Granted is the budget of sub-agents that are not settled yet.
 	Granted structs.Amount
-	// Remaining is neither spent, reserved nor granted.
+	// Remaining is the budget that is neither spent, reserved nor granted.
 	Remaining      structs.Amount
 	OpenedAt       time.Time
 	LastActivityAt time.Time
-	// Deadline is the zero time where there is none.
+	// Deadline is the zero time if there is none.
 	Deadline     time.Time
 	IdleTimeout  time.Duration
 	HistoryZones []structs.ZoneName
@@ -69,12 +70,13 @@
 	// Children are the sub-agents that are not settled yet.
 	Children []structs.ProgramID
 	Priority int
-	// HistoryTokens is the size of the prompt and answer of the last model
-	// call that finished, as its engine counted them.
+	// HistoryTokens is the size of the prompt and the answer of the last
+	// finished model call, as its engine counted them.
 	HistoryTokens int64
 }
 
-// Call is a call with what a dispatcher needs to send, resume or abandon it.
+// Call describes a call with what a dispatcher needs to send, resume or
+// abandon it.
 type Call struct {
 	Program    structs.ProgramID
 	Number     structs.CallNumber
@@ -83,19 +85,19 @@
 	Adapter    string
 	Repeatable bool
 	Input      []byte
-	// InputError is set where Input could not be read. Neither Runnable nor
-	// StartedCall returns such a call.
+	// InputError is set if Input cannot be decoded. RunnableCall and
+	// StartedCall do not return such a call.
 	InputError      error
 	MaxAnswerTokens int64
 	ExpectedPause   time.Duration
 	State           CallState
-	// Attempt is the last attempt started, counted from 1; 0 means none.
+	// Attempt is the last started attempt, counted from 1. 0 means none.
 	Attempt uint32
-	// AbandonRequested says that the caller cancelled the call or that the program has
-	// ended: a started attempt is to be stopped and settled. It is never set on
-	// a tool call that is not repeatable.
+	// AbandonRequested is set if the caller cancelled the call or the program
+	// has ended. A started attempt must then be stopped and settled. It is
+	// never set for a tool call that is not repeatable.
 	AbandonRequested bool
-	// The last attempt's target, key, reservation and start.
+	// The target, key, reservation and start time of the last attempt.
 	TargetID          string
 	TargetIncarnation structs.Incarnation
 	TargetAddress     string
@@ -104,7 +106,7 @@
 	StartedAt         time.Time
 }
 
-// CallResult is what the journal holds of a call's outcome.
+// CallResult is what the journal holds about the outcome of a call.
 type CallResult struct {
 	Number  structs.CallNumber
 	Kind    CallKind
@@ -116,7 +118,7 @@
 	AnswerTokens int64
 	ReusedTokens int64
 	Spent        structs.Amount
-	// FailureType is empty where the call finished or is under way.
+	// FailureType is empty if the call finished or is not final yet.
 	FailureType   failure.Type
 	FailureDetail string
 	// Outcome is empty until the state is final.
@@ -132,41 +134,44 @@
 	Answer []byte
 }
 
-// MayCache is an engine's memory that a program may occupy.
+// CacheHold records that an engine may cache data for a program.
 type CacheHold struct {
 	Program     structs.ProgramID
 	Engine      structs.EngineID
 	Incarnation structs.Incarnation
 	Address     string
-	// ProgramEnded says that the program has ended: the hold is to be released.
+	// ProgramEnded is set if the program has ended, so the hold must be
+	// released.
 	ProgramEnded bool
 }
 
-// LeaderTaskKind says what a leader owes a program.
+// LeaderTaskKind is the kind of a leader task.
 type LeaderTaskKind string
 
-// The kinds of duties.
+// The kinds of leader tasks.
 const (
-	// TaskResumeCall: a call was started and has no end. The leader takes its
-	// stream up again, asks for its outcome, or abandons it (Call.Abandon).
+	// TaskResumeCall: a call was started and has not ended. The leader resumes
+	// its stream, queries its outcome, or abandons it (Call.AbandonRequested).
 	TaskResumeCall LeaderTaskKind = "resume"
-	// TaskReleaseHold: an ended program holds engine memory.
+	// TaskReleaseHold: an engine may still cache data for an ended program.
 	TaskReleaseHold LeaderTaskKind = "release"
-	// TaskEndProgram: the program was idle too long or is past its deadline.
+	// TaskEndProgram: the program was idle for too long or is past its
+	// deadline.
 	TaskEndProgram LeaderTaskKind = "end"
-	// TaskRemoveProgram: the program's retention is over.
+	// TaskRemoveProgram: the program's retention time is over.
 	TaskRemoveProgram LeaderTaskKind = "remove"
 )
 
-// LeaderTask is something that a leader must do without being asked by a caller.
+// LeaderTask is work that a leader must do without a request from a caller.
 type LeaderTask struct {
 	Kind    LeaderTaskKind
 	Program structs.ProgramID
 	Tenant  structs.TenantID
 	// Call is set for TaskResumeCall.
 	Call *Call
-	// MayCache is set for TaskReleaseHold.
+	// Hold is set for TaskReleaseHold.
 	Hold CacheHold
-	// Cause is set for TaskEndProgram: the cause to end the program with.
+	// Cause is set for TaskEndProgram and is the cause to end the program
+	// with.
 	Cause string
 }
