--- a/internal/journal/election.go
+++ b/internal/journal/election.go
@@ -7,35 +7,40 @@
 // election is the state of a campaign.
 type election struct {
 	granted map[MemberID]bool
-	// retryIn and giveUpIn count down in ticks.
-	retryIn, giveUpIn int
-	transfer          bool
-	// patience counts the ticks for which the replica leaves the campaign to
-	// another candidate.
-	patience int
+	// retryTicksLeft and giveUpTicksLeft are the ticks until the vote requests
+	// are repeated and until the campaign ends.
+	retryTicksLeft, giveUpTicksLeft int
+	// isTransfer is set if the previous leader asked for the election.
+	isTransfer bool
+	// yieldTicksLeft is the number of ticks for which the replica does not
+	// campaign because it yielded to another candidate.
+	yieldTicksLeft int
 }
 
-// LeaderSearch is what a replica has done to find a leader since it last had one, for logs.
+// LeaderSearch describes, for logs, the attempts of a replica to find a leader
+// since it last knew one.
 type LeaderSearch struct {
-	// Rounds counts the rounds in which it asked for votes.
+	// Rounds is the number of vote rounds that it started.
 	Rounds int
-	// Granted, Refused and Silent are what the other voters answered in its last round.
+	// Granted, Refused and Unanswered group the other voters by their answer
+	// in the last round.
 	Granted, Refused, Unanswered []MemberID
 }
 
-// LeaderSearch returns how the search for a leader goes; it is empty where a leader is known.
+// LeaderSearch returns the state of the search for a leader. It is empty if a
+// leader is known.
 func (r *Replica) LeaderSearch() LeaderSearch {
 	if r.leader != (MemberID{}) || r.role == Leader {
 		return LeaderSearch{}
 	}
-	search := LeaderSearch{Rounds: r.search.rounds}
-	for _, member := range r.current().members {
+	search := LeaderSearch{Rounds: r.voteAnswers.rounds}
+	for _, member := range r.currentMembership().members {
 		id := member.ID()
 		switch {
 		case member.Learner || id == r.config.Self:
-		case r.search.granted[id]:
+		case r.voteAnswers.granted[id]:
 			search.Granted = append(search.Granted, id)
-		case r.search.refused[id]:
+		case r.voteAnswers.refused[id]:
 			search.Refused = append(search.Refused, id)
 		default:
 			search.Unanswered = append(search.Unanswered, id)
@@ -44,26 +49,28 @@
 	return search
 }
 
-// search is what Search tells. Unlike election it outlasts a campaign that was given up.
-type search struct {
+// voteAnswers is the state that LeaderSearch reports. Unlike election, it is
+// kept when a campaign is given up.
+type voteAnswers struct {
 	rounds           int
 	granted, refused map[MemberID]bool
 }
 
-// doubt is what a replica holds of its leader's silence.
-type doubt struct {
-	probing bool
-	// waited counts ticks since the probe was first sent.
-	waited int
-	// campaign says that the replica wants to campaign if the probe fails.
-	campaign bool
+// leaderProbe is the state of a probe of the leader.
+type leaderProbe struct {
+	active bool
+	// waitedTicks counts the ticks since the probe was first sent.
+	waitedTicks int
+	// campaignOnFailure is set if the replica is to campaign if the probe
+	// fails.
+	campaignOnFailure bool
 }
 
-// EnsureLeader makes sure that the leader, if one is known, still leads, and
-// campaigns when it does not answer. It does nothing at a leader or while a
-// campaign is under way.
+// EnsureLeader probes the leader, if one is known, and campaigns if it does not
+// answer or if none is known. It does nothing on a leader, during a campaign, or
+// while the replica yields to another candidate.
 func (r *Replica) EnsureLeader() {
-	if r.role != Follower || r.removed || r.election.patience > 0 {
+	if r.role != Follower || r.removed || r.election.yieldTicksLeft > 0 {
 		return
 	}
 	if r.leader == (MemberID{}) || r.suspected[r.leader.WithoutAdmission()] {
@@ -73,137 +80,140 @@
 	r.probeLeader(true)
 }
 
-// LeaderConfirmed reports that a leader is known and no probe of it is open.
+// LeaderConfirmed reports whether a leader is known and no probe of it is
+// pending.
 func (r *Replica) LeaderConfirmed() bool {
 	if r.role == Leader {
 		return true
 	}
-	return r.role == Follower && r.leader != (MemberID{}) && !r.doubt.probing && !r.suspected[r.leader.WithoutAdmission()]
+	return r.role == Follower && r.leader != (MemberID{}) && !r.leaderProbe.active && !r.suspected[r.leader.WithoutAdmission()]
 }
 
 func (r *Replica) probeLeader(campaign bool) {
-	if !r.doubt.probing {
-		r.doubt = doubt{probing: true}
+	if !r.leaderProbe.active {
+		r.leaderProbe = leaderProbe{active: true}
 		r.sendProbe()
 	}
-	r.doubt.campaign = r.doubt.campaign || campaign
+	r.leaderProbe.campaignOnFailure = r.leaderProbe.campaignOnFailure || campaign
 }
 
 func (r *Replica) sendProbe() {
-	r.sendEarly(r.leader, &journalv1.Message{
-		Type: journalv1.MessageType_MESSAGE_TYPE_PROBE, Term: r.term, Index: r.log.last(),
+	r.sendImmediately(r.leader, &journalv1.Message{
+		Type: journalv1.MessageType_MESSAGE_TYPE_PROBE, Term: r.term, Index: r.log.lastIndex(),
 	})
 }
 
-// leaderLost is called when the leader is known not to lead.
-func (r *Replica) leaderLost() {
-	campaign := r.doubt.campaign
-	r.doubt = doubt{}
+// handleLeaderLost forgets the leader after it failed a probe, and campaigns
+// if that was requested.
+func (r *Replica) handleLeaderLost() {
+	campaign := r.leaderProbe.campaignOnFailure
+	r.leaderProbe = leaderProbe{}
 	r.leader = MemberID{}
 	if campaign {
 		r.Campaign()
 	}
 }
 
-// Campaign asks the voters whether they would elect this replica, and if a
-// majority would, stands for election. Only a voter campaigns.
+// Campaign requests pre-votes and, if a majority grants them, starts an
+// election. Only a voter campaigns.
 func (r *Replica) Campaign() {
-	if r.role == Leader || r.removed || !r.current().isVoter(r.config.Self) {
+	if r.role == Leader || r.removed || !r.currentMembership().isVoter(r.config.Self) {
 		return
 	}
 	if r.role == Follower {
-		r.election.giveUpIn = r.config.CampaignTicks
+		r.election.giveUpTicksLeft = r.config.CampaignTicks
 	}
 	r.role = PreCandidate
 	r.leader = MemberID{}
-	r.doubt = doubt{}
+	r.leaderProbe = leaderProbe{}
 	r.startPreVote()
 }
 
 func (r *Replica) startPreVote() {
-	r.startRound(journalv1.MessageType_MESSAGE_TYPE_PRE_VOTE, r.term+1)
+	r.requestVotes(journalv1.MessageType_MESSAGE_TYPE_PRE_VOTE, r.term+1)
 	r.election.granted[r.config.Self] = true
 	r.countVotes()
 }
 
-// stand is the election proper, after a majority granted the pre-vote.
-func (r *Replica) stand() {
+// startElection starts the election after a majority granted the pre-vote.
+func (r *Replica) startElection() {
 	r.role = Candidate
 	r.leader = MemberID{}
-	r.doubt = doubt{}
+	r.leaderProbe = leaderProbe{}
 	r.term++
-	r.vote = r.config.Self
+	r.votedFor = r.config.Self
 	r.stateChanged = true
-	r.startRound(journalv1.MessageType_MESSAGE_TYPE_VOTE, r.term)
-	if r.broken.countUnstoredVote {
+	r.requestVotes(journalv1.MessageType_MESSAGE_TYPE_VOTE, r.term)
+	if r.injected.countVoteBeforeStore {
 		r.election.granted[r.config.Self] = true
 		r.countVotes()
 		return
 	}
-	// The own vote counts only when it is stored, like any other's.
-	r.sendStored(r.config.Self, &journalv1.Message{
+	// The replica's own vote counts only once it is stored, like any other
+	// vote.
+	r.sendAfterStore(r.config.Self, &journalv1.Message{
 		Type: journalv1.MessageType_MESSAGE_TYPE_VOTE_ANSWER, Term: r.term,
 	})
 }
 
-func (r *Replica) startRound(kind journalv1.MessageType, term uint64) {
+func (r *Replica) requestVotes(kind journalv1.MessageType, term uint64) {
 	r.election.granted = map[MemberID]bool{}
-	r.search = search{rounds: r.search.rounds + 1, granted: map[MemberID]bool{}, refused: map[MemberID]bool{}}
-	r.election.retryIn = r.config.ElectionTicks + r.config.Random.IntN(r.config.ElectionTicks)
-	index, logTerm := r.log.last(), r.log.lastTerm()
-	for _, member := range r.current().members {
+	r.voteAnswers = voteAnswers{rounds: r.voteAnswers.rounds + 1, granted: map[MemberID]bool{}, refused: map[MemberID]bool{}}
+	r.election.retryTicksLeft = r.config.ElectionTicks + r.config.Random.IntN(r.config.ElectionTicks)
+	index, logTerm := r.log.lastIndex(), r.log.lastTerm()
+	for _, member := range r.currentMembership().members {
 		if member.Learner || member.ID() == r.config.Self {
 			continue
 		}
-		r.sendStored(member.ID(), &journalv1.Message{
-			Type: kind, Term: term, Index: index, LogTerm: logTerm, Transfer: r.election.transfer,
+		r.sendAfterStore(member.ID(), &journalv1.Message{
+			Type: kind, Term: term, Index: index, LogTerm: logTerm, Transfer: r.election.isTransfer,
 		})
 	}
 }
 
 func (r *Replica) countVotes() {
-	if !r.majority(func(id MemberID) bool { return r.election.granted[id] }) {
+	if !r.majorityAgrees(func(id MemberID) bool { return r.election.granted[id] }) {
 		return
 	}
 	if r.role == PreCandidate {
-		r.stand()
+		r.startElection()
 		return
 	}
 	r.becomeLeader()
 }
 
-// majority reports whether the voters in force that agree are a majority.
-func (r *Replica) majority(agrees func(MemberID) bool) bool {
-	if r.broken.commitAlone {
+// majorityAgrees reports whether a majority of the current voters agrees.
+func (r *Replica) majorityAgrees(agrees func(MemberID) bool) bool {
+	if r.injected.commitWithoutMajority {
 		return true
 	}
-	if r.broken.learnersCount {
-		return r.current().agreeing(agrees, true) >= r.current().quorum()
+	if r.injected.countLearners {
+		return r.currentMembership().countAgreeing(agrees, true) >= r.currentMembership().quorum()
 	}
-	return r.current().reached(agrees)
+	return r.currentMembership().hasMajority(agrees)
 }
 
-func (r *Replica) tickElection() {
-	r.election.giveUpIn--
-	r.election.retryIn--
-	if r.election.giveUpIn <= 0 {
+func (r *Replica) tickCampaign() {
+	r.election.giveUpTicksLeft--
+	r.election.retryTicksLeft--
+	if r.election.giveUpTicksLeft <= 0 {
 		r.becomeFollower(r.term, MemberID{})
 		return
 	}
-	if r.election.retryIn <= 0 {
+	if r.election.retryTicksLeft <= 0 {
 		r.role = PreCandidate
 		r.startPreVote()
 	}
 }
 
-func (r *Replica) tickDoubt() {
-	r.election.patience = max(0, r.election.patience-1)
-	if !r.doubt.probing {
+func (r *Replica) tickLeaderProbe() {
+	r.election.yieldTicksLeft = max(0, r.election.yieldTicksLeft-1)
+	if !r.leaderProbe.active {
 		return
 	}
-	r.doubt.waited++
-	if r.doubt.waited >= r.config.ProbeTicks || r.suspected[r.leader.WithoutAdmission()] {
-		r.leaderLost()
+	r.leaderProbe.waitedTicks++
+	if r.leaderProbe.waitedTicks >= r.config.ProbeTicks || r.suspected[r.leader.WithoutAdmission()] {
+		r.handleLeaderLost()
 		return
 	}
 	r.sendProbe()
@@ -211,61 +221,63 @@
 
 func (r *Replica) stepPreVote(from MemberID, m *journalv1.Message) {
 	if r.role == Leader {
-		r.introduce(from)
+		r.announceLeadership(from)
 	}
-	if !r.upToDate(m) {
-		// The candidate cannot win, and whoever asked it may never ask here.
+	if !r.candidateUpToDate(m) {
+		// The candidate cannot win, and the caller that asked it for a leader
+		// may never ask this replica.
 		r.EnsureLeader()
 	}
-	granted := r.mayElect(from, m) && m.Term > r.term && r.upToDate(m) && r.yields(from, m)
+	granted := r.mayGrantPreVote(from, m) && m.Term > r.term && r.candidateUpToDate(m) && r.yieldsTo(from, m)
 	if granted {
-		r.leaveToAnother()
+		r.yieldCampaign()
 	}
-	r.sendEarly(from, &journalv1.Message{
-		Type: journalv1.MessageType_MESSAGE_TYPE_PRE_VOTE_ANSWER, Term: answerTerm(granted, m.Term, r.term), Reject: !granted,
+	r.sendImmediately(from, &journalv1.Message{
+		Type: journalv1.MessageType_MESSAGE_TYPE_PRE_VOTE_ANSWER, Term: preVoteAnswerTerm(granted, m.Term, r.term), Reject: !granted,
 	})
 }
 
-// introduce shows this leader to a candidate that does not know it, as one that
-// restarted does not: an idle leader sends nothing else.
-func (r *Replica) introduce(candidate MemberID) {
-	if peer, known := r.leading.peers[candidate]; known && peer.snapshot == 0 {
+// announceLeadership sends an append to a candidate that does not know the
+// leader, for example after a restart. An idle leader sends no other messages.
+func (r *Replica) announceLeadership(candidate MemberID) {
+	if peer, known := r.leaderState.peers[candidate]; known && peer.snapshotIndex == 0 {
 		r.sendProbeAppend(candidate, peer)
 	}
 }
 
-func answerTerm(granted bool, asked, own uint64) uint64 {
+func preVoteAnswerTerm(granted bool, candidateTerm, ownTerm uint64) uint64 {
 	if granted {
-		return asked
+		return candidateTerm
 	}
-	return own
+	return ownTerm
 }
 
-// yields reports whether the candidate goes before this replica, if that is a
-// candidate itself: the one with the longer log, and else the lower identity,
-// so that two that begin at the same time do not split the votes.
-func (r *Replica) yields(candidate MemberID, m *journalv1.Message) bool {
+// yieldsTo reports whether this replica lets the candidate take precedence. A
+// follower always does. A candidate does if the logs differ, because only a
+// candidate with a longer log gets this far, or if the other identity is lower,
+// so that two candidates that start at the same time do not split the votes.
+func (r *Replica) yieldsTo(candidate MemberID, m *journalv1.Message) bool {
 	if r.role == Follower {
 		return true
 	}
-	if m.Index != r.log.last() || m.LogTerm != r.log.lastTerm() {
+	if m.Index != r.log.lastIndex() || m.LogTerm != r.log.lastTerm() {
 		return true
 	}
 	return compareIDs(candidate, r.config.Self) < 0
 }
 
-// leaveToAnother ends an own campaign in favour of another one.
-func (r *Replica) leaveToAnother() {
+// yieldCampaign ends the replica's own campaign in favor of another candidate.
+func (r *Replica) yieldCampaign() {
 	if r.role != Follower {
 		r.becomeFollower(r.term, MemberID{})
 	}
-	r.election.patience = r.config.ElectionTicks
+	r.election.yieldTicksLeft = r.config.ElectionTicks
 }
 
-// mayElect reports whether the replica holds that there is no leader. Where it
-// holds that there is one, it probes it, and answers the next attempt by what
-// it learnt.
-func (r *Replica) mayElect(candidate MemberID, m *journalv1.Message) bool {
+// mayGrantPreVote reports whether the replica assumes that there is no leader.
+// Otherwise it probes the leader, and the result decides how it answers the
+// next attempt.
+func (r *Replica) mayGrantPreVote(candidate MemberID, m *journalv1.Message) bool {
 	if m.Transfer {
 		return true
 	}
@@ -279,48 +291,48 @@
 	return false
 }
 
-func (r *Replica) upToDate(m *journalv1.Message) bool {
-	if r.broken.skipElectionCheck {
+func (r *Replica) candidateUpToDate(m *journalv1.Message) bool {
+	if r.injected.skipUpToDateCheck {
 		return true
 	}
-	index, term := r.log.last(), r.log.lastTerm()
+	index, term := r.log.lastIndex(), r.log.lastTerm()
 	return m.LogTerm > term || m.LogTerm == term && m.Index >= index
 }
 
 func (r *Replica) stepVote(from MemberID, m *journalv1.Message) {
-	free := r.vote == (MemberID{}) && r.leader == (MemberID{}) || r.vote == from || r.broken.forgetVote
-	granted := free && r.upToDate(m) && r.role != Leader
+	mayVote := r.votedFor == (MemberID{}) && r.leader == (MemberID{}) || r.votedFor == from || r.injected.forgetVote
+	granted := mayVote && r.candidateUpToDate(m) && r.role != Leader
 	if granted {
-		r.vote = from
+		r.votedFor = from
 		r.stateChanged = true
-		r.leaveToAnother()
+		r.yieldCampaign()
 	}
-	r.sendStored(from, &journalv1.Message{
+	r.sendAfterStore(from, &journalv1.Message{
 		Type: journalv1.MessageType_MESSAGE_TYPE_VOTE_ANSWER, Term: r.term, Reject: !granted,
 	})
 }
 
 func (r *Replica) stepVoteAnswer(from MemberID, m *journalv1.Message, role Role) {
-	wanted := r.term
+	expectedTerm := r.term
 	if role == PreCandidate {
-		wanted = r.term + 1
+		expectedTerm = r.term + 1
 	}
 	if r.role != role {
 		return
 	}
-	if m.Reject || m.Term != wanted {
-		r.search.refused[from] = true
+	if m.Reject || m.Term != expectedTerm {
+		r.voteAnswers.refused[from] = true
 		return
 	}
-	r.search.granted[from] = true
+	r.voteAnswers.granted[from] = true
 	r.election.granted[from] = true
 	r.countVotes()
 }
 
 func (r *Replica) stepProbe(from MemberID) {
-	r.sendEarly(from, &journalv1.Message{
+	r.sendImmediately(from, &journalv1.Message{
 		Type: journalv1.MessageType_MESSAGE_TYPE_PROBE_ANSWER, Term: r.term,
-		Leading: r.role == Leader, Leaving: r.role == Leader && r.unwanted(from),
+		Leading: r.role == Leader, Leaving: r.role == Leader && r.isLeaving(from),
 	})
 }
 
@@ -329,9 +341,9 @@
 		return
 	}
 	if m.Leading {
-		r.doubt = doubt{}
-		r.toldLeaving = m.Leaving
+		r.leaderProbe = leaderProbe{}
+		r.leavingReportedByLeader = m.Leaving
 		return
 	}
-	r.leaderLost()
+	r.handleLeaderLost()
 }
--- a/internal/journal/leader.go
+++ b/internal/journal/leader.go
@@ -6,125 +6,131 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/journalv1"
 )
 
-// leading is the state of a leader in its term.
-type leading struct {
-	// noop is the index of the empty entry that began the term.
-	noop  uint64
-	peers map[MemberID]*progress
-	// uncommittedBytes is what was proposed and is not committed.
+// leaderState is the state of a leader in its term.
+type leaderState struct {
+	// firstIndex is the index of the first entry of the term, which the leader
+	// appends when it is elected.
+	firstIndex uint64
+	peers      map[MemberID]*progress
+	// uncommittedBytes is the size of the uncommitted entries.
 	uncommittedBytes int
-	// transferTo is the voter that is to lead next, while transferIn > 0.
-	transferTo MemberID
-	transferIn int
-	// silent counts ticks since a majority last answered, while work is
-	// outstanding.
-	silent int
-	rounds confirmation
-	// offered is the snapshot that is being sent.
-	offered      *Snapshot
-	offerPending bool
-	// departing counts the notices left to members that were removed.
-	departing map[MemberID]int
+	// transferTarget is the voter that is to become leader, while
+	// transferTicksLeft > 0.
+	transferTarget    MemberID
+	transferTicksLeft int
+	// ticksWithoutMajority counts the ticks since a majority last answered,
+	// while work is outstanding.
+	ticksWithoutMajority int
+	confirmation         confirmationRounds
+	// offeredSnapshot is the snapshot that is being sent, or nil.
+	offeredSnapshot *Snapshot
+	// snapshotRequested is set between SnapshotNeeded and OfferSnapshot.
+	snapshotRequested bool
+	// removalNoticesLeft is the number of removal notices still to be sent to
+	// each removed member.
+	removalNoticesLeft map[MemberID]int
 }
 
 const (
-	// departureNotices is how often a removed member is told.
-	departureNotices = 5
-	// maxRetransmitFactor bounds the backoff of retransmissions.
+	// removalNoticeCount is the number of removal notices sent to a removed
+	// member.
+	removalNoticeCount = 5
+	// maxRetransmitFactor limits the retransmission backoff, in multiples of
+	// RetransmitTicks.
 	maxRetransmitFactor = 64
 )
 
 func (r *Replica) becomeLeader() {
 	r.role = Leader
 	r.leader = r.config.Self
-	r.doubt = doubt{}
+	r.leaderProbe = leaderProbe{}
 	r.election = election{}
-	r.search = search{}
+	r.voteAnswers = voteAnswers{}
 	r.incoming = incomingSnapshot{}
-	r.leading = leading{
-		noop: r.log.last() + 1, peers: map[MemberID]*progress{}, departing: map[MemberID]int{},
-		rounds: confirmation{asked: r.round, confirmed: r.round},
+	r.leaderState = leaderState{
+		firstIndex: r.log.lastIndex() + 1, peers: map[MemberID]*progress{}, removalNoticesLeft: map[MemberID]int{},
+		confirmation: confirmationRounds{lastStarted: r.confirmationRound, lastConfirmed: r.confirmationRound},
 	}
-	for at := r.commit + 1; at <= r.log.last(); at++ {
-		r.leading.uncommittedBytes += entryBytes(r.log.entry(at))
+	for index := r.commitIndex + 1; index <= r.log.lastIndex(); index++ {
+		r.leaderState.uncommittedBytes += entryBytes(r.log.entry(index))
 	}
 	r.syncPeers()
-	r.appendOwn(r.firstEntry())
+	r.appendAsLeader(r.newFirstEntry())
 	r.advanceCommit()
 	r.replicate()
 }
 
-// firstEntry returns the entry that begins the term. It is empty, but where the
-// log holds no membership yet it repeats the genesis, so that members that were
-// begun by a message of the group's learn it.
-func (r *Replica) firstEntry() *journalv1.Entry {
-	if r.current().index > 0 {
+// newFirstEntry returns the first entry of the term. It is empty unless the
+// log holds no membership yet. In that case it repeats the initial membership,
+// because replicas that were created by a message of the group do not know it.
+func (r *Replica) newFirstEntry() *journalv1.Entry {
+	if r.currentMembership().index > 0 {
 		return &journalv1.Entry{Type: journalv1.EntryType_ENTRY_TYPE_NOOP}
 	}
-	members := encodeMembers(r.current().members)
+	members := encodeMembers(r.currentMembership().members)
 	return &journalv1.Entry{
 		Type:       journalv1.EntryType_ENTRY_TYPE_MEMBERSHIP,
-		Membership: &journalv1.Membership{Index: r.log.last() + 1, Term: r.term, Members: members},
+		Membership: &journalv1.Membership{Index: r.log.lastIndex() + 1, Term: r.term, Members: members},
 	}
 }
 
-// syncPeers keeps one progress for each other member in force, and notices
-// which members departed.
+// syncPeers keeps one progress for each other member of the current
+// membership, and schedules removal notices for members that were removed.
 func (r *Replica) syncPeers() {
-	current := r.current()
+	current := r.currentMembership()
 	for _, member := range current.members {
 		id := member.ID()
-		_, known := r.leading.peers[id]
+		_, known := r.leaderState.peers[id]
 		if known || id == r.config.Self {
 			continue
 		}
-		delete(r.leading.departing, id)
-		r.leading.peers[id] = &progress{next: r.log.last() + 1, probing: true, delay: r.config.RetransmitTicks}
+		delete(r.leaderState.removalNoticesLeft, id)
+		r.leaderState.peers[id] = &progress{next: r.log.lastIndex() + 1, probing: true, retransmitDelayTicks: r.config.RetransmitTicks}
 	}
-	for id := range r.leading.peers {
+	for id := range r.leaderState.peers {
 		if _, member := current.find(id); !member {
-			delete(r.leading.peers, id)
-			r.leading.departing[id] = departureNotices
+			delete(r.leaderState.peers, id)
+			r.leaderState.removalNoticesLeft[id] = removalNoticeCount
 		}
 	}
-	r.releaseSnapshot()
+	r.dropUnusedSnapshot()
 }
 
-func (r *Replica) appendOwn(entry *journalv1.Entry) {
-	entry.Index = r.log.last() + 1
+func (r *Replica) appendAsLeader(entry *journalv1.Entry) {
+	entry.Index = r.log.lastIndex() + 1
 	entry.Term = r.term
 	r.appendEntry(entry)
-	r.leading.uncommittedBytes += entryBytes(entry)
+	r.leaderState.uncommittedBytes += entryBytes(entry)
 }
 
-// Propose appends data entries and returns the index of the first and their
-// term. The error is *NotLeader, or *Full when too much is uncommitted.
+// Propose appends data entries and returns the index of the first entry and
+// the term of all. The error is *NotLeader, or *UncommittedLimitReached.
 func (r *Replica) Propose(data [][]byte) (first, term uint64, err error) {
-	if r.role != Leader || r.leading.transferIn > 0 {
+	if r.role != Leader || r.leaderState.transferTicksLeft > 0 {
 		return 0, 0, &NotLeader{Leader: r.leader}
 	}
-	if r.leading.uncommittedBytes > r.config.MaxUncommittedBytes {
-		return 0, 0, &UncommittedLimitReached{Bytes: r.leading.uncommittedBytes}
+	if r.leaderState.uncommittedBytes > r.config.MaxUncommittedBytes {
+		return 0, 0, &UncommittedLimitReached{Bytes: r.leaderState.uncommittedBytes}
 	}
-	first = r.log.last() + 1
+	first = r.log.lastIndex() + 1
 	for _, item := range data {
-		r.appendOwn(&journalv1.Entry{Data: item})
+		r.appendAsLeader(&journalv1.Entry{Data: item})
 	}
 	r.replicate()
 	return first, r.term, nil
 }
 
-// replicate sends to each member what its window has room for.
+// replicate sends entries to each member as far as its window allows.
 func (r *Replica) replicate() {
 	for _, id := range r.peerIDs() {
-		r.sendAppends(id, r.leading.peers[id])
+		r.sendAppends(id, r.leaderState.peers[id])
 	}
 }
 
-// peerIDs returns the members with a progress in a fixed order.
+// peerIDs returns the members that have a progress, in a fixed order.
 func (r *Replica) peerIDs() []MemberID {
-	ids := make([]MemberID, 0, len(r.leading.peers))
-	for id := range r.leading.peers {
+	ids := make([]MemberID, 0, len(r.leaderState.peers))
+	for id := range r.leaderState.peers {
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, compareIDs)
@@ -142,30 +148,30 @@
 }
 
 func (r *Replica) sendAppends(id MemberID, peer *progress) {
-	if peer.snapshot != 0 {
+	if peer.snapshotIndex != 0 {
 		return
 	}
-	for peer.next <= r.log.last() && r.windowOpen(peer) {
-		if peer.next <= r.log.base {
+	for peer.next <= r.log.lastIndex() && r.windowOpen(peer) {
+		if peer.next <= r.log.baseIndex {
 			r.startSnapshot(id, peer)
 			return
 		}
-		entries := r.log.between(peer.next-1, r.log.last(), r.config.MaxAppendBytes)
+		entries := r.log.entriesBetween(peer.next-1, r.log.lastIndex(), r.config.MaxAppendBytes)
 		r.sendAppend(id, peer, entries)
 	}
 }
 
 func (r *Replica) windowOpen(peer *progress) bool {
 	if peer.probing {
-		return len(peer.flight) == 0
+		return len(peer.inflight) == 0
 	}
-	return peer.bytes < r.config.MaxInflightBytes
+	return peer.inflightBytes < r.config.MaxInflightBytes
 }
 
 func (r *Replica) sendAppend(id MemberID, peer *progress, entries []*journalv1.Entry) {
 	previous := peer.next - 1
-	term, held := r.log.term(previous)
-	if !held {
+	term, found := r.log.term(previous)
+	if !found {
 		r.startSnapshot(id, peer)
 		return
 	}
@@ -173,51 +179,51 @@
 	for _, entry := range entries {
 		size += entryBytes(entry)
 	}
-	r.sendEarly(id, &journalv1.Message{
+	r.sendImmediately(id, &journalv1.Message{
 		Type: journalv1.MessageType_MESSAGE_TYPE_APPEND, Term: r.term,
-		Index: previous, LogTerm: term, Commit: r.commit, Entries: entries,
+		Index: previous, LogTerm: term, Commit: r.commitIndex, Entries: entries,
 	})
 	peer.next += uint64(len(entries))
-	peer.flight = append(peer.flight, flight{last: peer.next - 1, bytes: size})
-	peer.bytes += size
+	peer.inflight = append(peer.inflight, inflightAppend{lastIndex: peer.next - 1, bytes: size})
+	peer.inflightBytes += size
 }
 
 func (r *Replica) stepAppendAnswer(from MemberID, m *journalv1.Message) {
-	peer, known := r.leading.peers[from]
+	peer, known := r.leaderState.peers[from]
 	if r.role != Leader || !known {
 		return
 	}
-	peer.heardFrom(r.config.RetransmitTicks)
-	r.noteMajority()
+	peer.recordAnswer(r.config.RetransmitTicks)
+	r.updateMajorityTimer()
 	if m.Reject {
-		r.appendRefused(from, peer, m)
+		r.handleAppendRejected(from, peer, m)
 		return
 	}
 	peer.acknowledge(m.Index, m.Commit)
-	r.leaveSnapshot(peer)
+	r.finishSnapshotIfStored(peer)
 	if m.Index >= peer.match {
 		peer.probing = false
 	}
 	r.advanceCommit()
-	r.continueTransfer(from, peer)
+	r.completeTransferIfCaughtUp(from, peer)
 	r.sendAppends(from, peer)
 }
 
-func (r *Replica) appendRefused(from MemberID, peer *progress, m *journalv1.Message) {
-	if m.Index <= peer.match || peer.snapshot != 0 {
+func (r *Replica) handleAppendRejected(from MemberID, peer *progress, m *journalv1.Message) {
+	if m.Index <= peer.match || peer.snapshotIndex != 0 {
 		return
 	}
 	peer.next = max(peer.match, min(m.Hint, m.Index-1)) + 1
 	peer.probing = true
-	peer.flight, peer.bytes = nil, 0
+	peer.inflight, peer.inflightBytes = nil, 0
 	r.sendProbeAppend(from, peer)
 }
 
 // sendProbeAppend sends one append, possibly without entries.
 func (r *Replica) sendProbeAppend(id MemberID, peer *progress) {
-	if peer.next <= r.log.base {
+	if peer.next <= r.log.baseIndex {
 		r.startSnapshot(id, peer)
 		return
 	}
-	r.sendAppend(id, peer, r.log.between(peer.next-1, r.log.last(), r.config.MaxAppendBytes))
+	r.sendAppend(id, peer, r.log.entriesBetween(peer.next-1, r.log.lastIndex(), r.config.MaxAppendBytes))
 }
--- a/internal/journal/search_test.go
+++ b/internal/journal/leader_search_test.go
@@ -10,7 +10,8 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// TestLeaderSearchGroupsVotersByAnswer has one voter grant, one refuse and one be silent.
+// TestLeaderSearchGroupsVotersByAnswer lets one voter grant, one refuse and
+// two not answer.
 func TestLeaderSearchGroupsVotersByAnswer(t *testing.T) {
 	var members []Member
 	for _, node := range []string{"a", "b", "c", "d", "e"} {
@@ -38,5 +39,5 @@
 	require.Equal(t, []MemberID{members[3].ID(), members[4].ID()}, search.Unanswered)
 	answer(members[3], false)
 	require.Equal(t, Candidate, replica.role)
-	require.Equal(t, 2, replica.LeaderSearch().Rounds, "a round of votes follows")
+	require.Equal(t, 2, replica.LeaderSearch().Rounds, "a vote round must follow the pre-vote round")
 }
--- a/internal/journal/membership.go
+++ b/internal/journal/membership.go
@@ -29,7 +29,8 @@
 	return members
 }
 
-// membership is the set of members that an entry (or the genesis) set.
+// membership is the set of members set by an entry or by the initial
+// membership.
 type membership struct {
 	index   uint64
 	term    uint64
@@ -45,20 +46,21 @@
 }
 
 func (m membership) find(id MemberID) (Member, bool) {
-	at := slices.IndexFunc(m.members, func(member Member) bool { return member.ID() == id })
-	if at < 0 {
+	i := slices.IndexFunc(m.members, func(member Member) bool { return member.ID() == id })
+	if i < 0 {
 		return Member{}, false
 	}
-	return m.members[at], true
+	return m.members[i], true
 }
 
-// findLife returns the member of a daemon's life under whatever admission.
-func (m membership) findLife(id MemberID) (Member, bool) {
-	at := slices.IndexFunc(m.members, func(member Member) bool { return member.ID().WithoutAdmission() == id.WithoutAdmission() })
-	if at < 0 {
+// findAnyAdmission returns the member with the same node and incarnation,
+// regardless of its admission.
+func (m membership) findAnyAdmission(id MemberID) (Member, bool) {
+	i := slices.IndexFunc(m.members, func(member Member) bool { return member.ID().WithoutAdmission() == id.WithoutAdmission() })
+	if i < 0 {
 		return Member{}, false
 	}
-	return m.members[at], true
+	return m.members[i], true
 }
 
 func (m membership) isVoter(id MemberID) bool {
@@ -66,7 +68,7 @@
 	return found && !member.Learner
 }
 
-// quorum is the number of voters in a majority.
+// quorum returns the number of voters in a majority.
 func (m membership) quorum() int {
 	return m.voterCount()/2 + 1
 }
@@ -81,28 +83,29 @@
 	return count
 }
 
-// reached reports whether the voters that agree are a majority.
-func (m membership) reached(agrees func(MemberID) bool) bool {
-	return m.voterCount() > 0 && m.agreeing(agrees, false) >= m.quorum()
+// hasMajority reports whether the voters that agree are a majority.
+func (m membership) hasMajority(agrees func(MemberID) bool) bool {
+	return m.voterCount() > 0 && m.countAgreeing(agrees, false) >= m.quorum()
 }
 
-// agreeing counts the voters, or voters and learners, that agree.
-func (m membership) agreeing(agrees func(MemberID) bool, learners bool) int {
+// countAgreeing returns the number of voters that agree, including learners if
+// learners is set.
+func (m membership) countAgreeing(agrees func(MemberID) bool, includeLearners bool) int {
 	count := 0
 	for _, member := range m.members {
-		if (learners || !member.Learner) && agrees(member.ID()) {
+		if (includeLearners || !member.Learner) && agrees(member.ID()) {
 			count++
 		}
 	}
 	return count
 }
 
-// with returns the members with one added or replaced.
-func (m membership) with(changed Member) []Member {
-	members := m.without(changed.ID())
+// withMember returns the members with one added or replaced.
+func (m membership) withMember(changed Member) []Member {
+	members := m.withoutMember(changed.ID())
 	return append(members, changed)
 }
 
-func (m membership) without(id MemberID) []Member {
+func (m membership) withoutMember(id MemberID) []Member {
 	return slices.DeleteFunc(slices.Clone(m.members), func(member Member) bool { return member.ID() == id })
 }
--- a/internal/journal/oracle_test.go
+++ b/internal/journal/oracle_test.go
@@ -7,78 +7,80 @@
 	"github.com/barleyshelf/barleyshelf/internal/gen/journalv1"
 )
 
-// oracle holds what any member was seen to commit.
+// oracle holds the entries that any member was seen to commit, and the first
+// violation.
 type oracle struct {
-	committed    map[uint64]*journalv1.Entry
-	highest      uint64
-	acknowledged uint64
-	leaders      map[uint64]MemberID
-	seen         map[string]uint64
-	violation    string
+	committed           map[uint64]*journalv1.Entry
+	highestCommitted    uint64
+	highestAcknowledged uint64
+	leaders             map[uint64]MemberID
+	committedData       map[string]uint64
+	violation           string
 }
 
 func newOracle() *oracle {
-	return &oracle{committed: map[uint64]*journalv1.Entry{}, leaders: map[uint64]MemberID{}, seen: map[string]uint64{}}
+	return &oracle{committed: map[uint64]*journalv1.Entry{}, leaders: map[uint64]MemberID{}, committedData: map[string]uint64{}}
 }
 
-func (o *oracle) violate(format string, arguments ...any) {
+func (o *oracle) recordViolation(format string, arguments ...any) {
 	if o.violation == "" {
 		o.violation = fmt.Sprintf(format, arguments...)
 	}
 }
 
-func (o *oracle) applied(id MemberID, entry *journalv1.Entry) {
-	known, exists := o.committed[entry.Index]
+func (o *oracle) checkApplied(id MemberID, entry *journalv1.Entry) {
+	committed, exists := o.committed[entry.Index]
 	if exists {
-		if known.Term != entry.Term || string(known.Data) != string(entry.Data) || known.Type != entry.Type {
-			o.violate("%v applied another entry at %d", id, entry.Index)
+		if committed.Term != entry.Term || string(committed.Data) != string(entry.Data) || committed.Type != entry.Type {
+			o.recordViolation("%v applied a different entry at index %d", id, entry.Index)
 		}
 		return
 	}
-	if entry.Index != o.highest+1 {
-		o.violate("%v committed %d, but %d is the highest", id, entry.Index, o.highest)
+	if entry.Index != o.highestCommitted+1 {
+		o.recordViolation("%v committed entry %d, but the highest committed entry is %d", id, entry.Index, o.highestCommitted)
 	}
 	o.committed[entry.Index] = entry
-	o.highest = max(o.highest, entry.Index)
+	o.highestCommitted = max(o.highestCommitted, entry.Index)
 	if entry.Type == journalv1.EntryType_ENTRY_TYPE_DATA {
-		if at, twice := o.seen[string(entry.Data)]; twice {
-			o.violate("%q committed at %d and %d", entry.Data, at, entry.Index)
+		if index, found := o.committedData[string(entry.Data)]; found {
+			o.recordViolation("%q was committed at index %d and %d", entry.Data, index, entry.Index)
 		}
-		o.seen[string(entry.Data)] = entry.Index
+		o.committedData[string(entry.Data)] = entry.Index
 	}
 }
 
-func (o *oracle) leads(id MemberID, term uint64) {
-	if other, taken := o.leaders[term]; taken && other != id {
-		o.violate("%v and %v lead term %d", other, id, term)
+func (o *oracle) checkLeader(id MemberID, term uint64) {
+	if other, exists := o.leaders[term]; exists && other != id {
+		o.recordViolation("%v and %v are both leaders of term %d", other, id, term)
 	}
 	o.leaders[term] = id
 }
 
-// serves checks that a leader that begins to serve holds all that was
-// committed, in its log or in its state. Entries of later terms are none of a
-// leader's that was already deposed when its first entry was committed.
-func (o *oracle) serves(m *simulated) {
-	for index := m.replica.log.base + 1; index <= o.highest; index++ {
-		committed := o.committed[index].Term
-		if committed > m.replica.term {
+// checkServing checks that a leader that starts to serve holds all committed
+// entries, in its log or in its state. It does not need the entries of later
+// terms: another leader may have replaced it before its first entry was
+// committed.
+func (o *oracle) checkServing(m *simulatedNode) {
+	for index := m.replica.log.baseIndex + 1; index <= o.highestCommitted; index++ {
+		committedTerm := o.committed[index].Term
+		if committedTerm > m.replica.term {
 			break
 		}
-		term, held := m.replica.log.term(index)
-		if !held || term != committed {
-			o.violate("leader %v of term %d lacks committed entry %d", m.id, m.replica.term, index)
+		term, found := m.replica.log.term(index)
+		if !found || term != committedTerm {
+			o.recordViolation("leader %v of term %d does not hold committed entry %d", m.id, m.replica.term, index)
 			return
 		}
 	}
-	o.checkState(m.id, m.position, m.machine)
+	o.checkState(m.id, m.appliedIndex, m.appliedData)
 }
 
 func (o *oracle) checkState(id MemberID, index uint64, state []string) {
 	var want []string
-	for at := uint64(1); at <= index; at++ {
-		entry, known := o.committed[at]
+	for i := uint64(1); i <= index; i++ {
+		entry, known := o.committed[i]
 		if !known {
-			o.violate("%v holds the state at %d, which nobody committed", id, index)
+			o.recordViolation("%v holds a state that includes index %d, which is not committed", id, index)
 			return
 		}
 		if entry.Type == journalv1.EntryType_ENTRY_TYPE_DATA {
@@ -86,6 +88,6 @@
 		}
 	}
 	if !slices.Equal(want, state) {
-		o.violate("%v holds another state at %d", id, index)
+		o.recordViolation("%v holds a different state at index %d", id, index)
 	}
 }
--- a/internal/journal/progress.go
+++ b/internal/journal/progress.go
@@ -1,101 +1,111 @@
 package journal
 
-// progress is what a leader knows of one member's log.
+// progress is a leader's view of another member's log.
 type progress struct {
-	// match is the last entry known to be stored there; next the one to send.
+	// match is the index of the last entry known to be stored by the member,
+	// next that of the next entry to send.
 	match, next uint64
-	// known is the commit index that the member last acknowledged.
-	known uint64
-	// probing sends one message at a time until the member's log is found.
-	probing bool
-	flight  []flight
-	bytes   int
-	// waited counts ticks since the last answer; delay is the wait before
-	// the next retransmission. Both only count while something is outstanding.
-	waited, delay int
-	// heard is reset when a majority was heard, fresh with every tick.
-	heard, fresh bool
-	// offset is the position in the snapshot being sent; sent the end of what
-	// was sent of it. Meaningful while snapshot is not 0.
-	snapshot      uint64
-	offset, sent  int
-	retransmitted bool
-	// noticed is the last commit index that was sent without entries.
-	noticed uint64
+	// knownCommit is the commit index that the member last acknowledged.
+	knownCommit uint64
+	// probing limits sending to one message at a time until the position at
+	// which the logs match is found.
+	probing       bool
+	inflight      []inflightAppend
+	inflightBytes int
+	// waitedTicks counts the ticks since the last answer. retransmitDelayTicks
+	// is the delay before the next retransmission. Both are used only while
+	// something is outstanding.
+	waitedTicks, retransmitDelayTicks int
+	// answeredSinceMajority is reset when a majority has answered,
+	// answeredSinceTick on every tick.
+	answeredSinceMajority, answeredSinceTick bool
+	// snapshotIndex is the index of the snapshot being sent, or 0.
+	// snapshotAcknowledged and snapshotSent are the offsets up to which the
+	// member acknowledged the snapshot and up to which it was sent. They are
+	// valid only while snapshotIndex is not 0.
+	snapshotIndex                      uint64
+	snapshotAcknowledged, snapshotSent int
+	// snapshotRetransmitted is set after chunks were sent again, until the
+	// member answers.
+	snapshotRetransmitted bool
+	// notifiedCommit is the last commit index that was sent in an append
+	// without new entries.
+	notifiedCommit uint64
 }
 
-// flight is one append that was sent and not acknowledged.
-type flight struct {
-	last  uint64
-	bytes int
+// inflightAppend is one append that was sent and not acknowledged.
+type inflightAppend struct {
+	lastIndex uint64
+	bytes     int
 }
 
-func (p *progress) heardFrom(delay int) {
-	p.waited, p.delay, p.heard, p.fresh = 0, delay, true, true
+func (p *progress) recordAnswer(delay int) {
+	p.waitedTicks, p.retransmitDelayTicks, p.answeredSinceMajority, p.answeredSinceTick = 0, delay, true, true
 }
 
 func (p *progress) acknowledge(index, commit uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
-	p.known = max(p.known, commit)
-	done := 0
-	for done < len(p.flight) && p.flight[done].last <= index {
-		p.bytes -= p.flight[done].bytes
-		done++
+	p.knownCommit = max(p.knownCommit, commit)
+	acknowledged := 0
+	for acknowledged < len(p.inflight) && p.inflight[acknowledged].lastIndex <= index {
+		p.inflightBytes -= p.inflight[acknowledged].bytes
+		acknowledged++
 	}
-	p.flight = p.flight[done:]
+	p.inflight = p.inflight[acknowledged:]
 }
 
-// advanceCommit commits the highest entry of the own term that a majority
-// stored.
+// advanceCommit commits up to the highest entry stored by a majority, if that
+// entry is of the current term.
 func (r *Replica) advanceCommit() {
 	if r.role != Leader {
 		return
 	}
-	index := r.log.last()
-	for index > r.commit {
-		if r.majority(func(id MemberID) bool { return r.storedAt(id) >= index }) {
+	index := r.log.lastIndex()
+	for index > r.commitIndex {
+		if r.majorityAgrees(func(id MemberID) bool { return r.memberStoredIndex(id) >= index }) {
 			break
 		}
 		index--
 	}
-	if index <= r.commit {
+	if index <= r.commitIndex {
 		return
 	}
-	if term, _ := r.log.term(index); term != r.term && !r.broken.countOlderTerms {
+	if term, _ := r.log.term(index); term != r.term && !r.injected.commitOlderTerms {
 		return
 	}
-	for at := r.commit + 1; at <= index; at++ {
-		r.leading.uncommittedBytes -= entryBytes(r.log.entry(at))
+	for i := r.commitIndex + 1; i <= index; i++ {
+		r.leaderState.uncommittedBytes -= entryBytes(r.log.entry(i))
 	}
-	r.leading.uncommittedBytes = max(r.leading.uncommittedBytes, 0)
+	r.leaderState.uncommittedBytes = max(r.leaderState.uncommittedBytes, 0)
 	r.setCommit(index)
 }
 
-func (r *Replica) storedAt(id MemberID) uint64 {
+func (r *Replica) memberStoredIndex(id MemberID) uint64 {
 	if id == r.config.Self {
-		return r.stored
+		return r.storedIndex
 	}
-	if peer, known := r.leading.peers[id]; known {
+	if peer, known := r.leaderState.peers[id]; known {
 		return peer.match
 	}
 	return 0
 }
 
-// noteMajority resets the count of silent ticks when a majority was heard.
-func (r *Replica) noteMajority() {
-	heard := func(id MemberID) bool {
+// updateMajorityTimer resets ticksWithoutMajority if a majority has answered
+// since the last reset.
+func (r *Replica) updateMajorityTimer() {
+	answered := func(id MemberID) bool {
 		if id == r.config.Self {
 			return true
 		}
-		peer, known := r.leading.peers[id]
-		return known && peer.heard
+		peer, known := r.leaderState.peers[id]
+		return known && peer.answeredSinceMajority
 	}
-	if !r.current().reached(heard) {
+	if !r.currentMembership().hasMajority(answered) {
 		return
 	}
-	r.leading.silent = 0
-	for _, peer := range r.leading.peers {
-		peer.heard = false
+	r.leaderState.ticksWithoutMajority = 0
+	for _, peer := range r.leaderState.peers {
+		peer.answeredSinceMajority = false
 	}
 }
--- a/internal/journal/restart_test.go
+++ b/internal/journal/restart_test.go
@@ -6,29 +6,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A member that comes back with its store does not know its leader, which may
-// have nothing to send. However often it is asked for a leader at once, it
-// learns of the one that leads, and does not unseat it.
+// TestRestartedMemberFindsTheIdleLeader checks a restarted member, which does
+// not know its leader while the leader has nothing to send. Repeated calls of
+// EnsureLeader must find that leader and must not replace it.
 func TestRestartedMemberFindsTheIdleLeader(t *testing.T) {
-	s := newSimulation(seeded(1), faults{}, profile{}, 3, 3)
-	leader, restarted := s.members[s.names[0]], s.members[s.names[1]]
+	s := newSimulation(seededChooser(1), simulationFaults{}, profile{}, 3, 3)
+	leader, restarted := s.nodes[s.nodeNames[0]], s.nodes[s.nodeNames[1]]
 	leader.replica.EnsureLeader()
-	leader.work()
+	leader.processReady()
 	for range 20 {
 		s.healRound(nil, 0)
 	}
 	require.True(t, leader.replica.Serving())
 	term := leader.replica.term
 	restarted.crash()
-	restarted.begin()
+	restarted.startReplica()
 	found := false
 	for range 100 {
 		restarted.replica.EnsureLeader()
-		restarted.work()
-		s.exchange()
+		restarted.processReady()
+		s.deliverAndStoreAll()
 		found = found || restarted.replica.LeaderConfirmed()
 		restarted.replica.Tick()
-		restarted.work()
+		restarted.processReady()
 	}
 	require.True(t, found)
 	require.Equal(t, term, leader.replica.term)
--- a/internal/journal/schedule_test.go
+++ b/internal/journal/schedule_test.go
@@ -7,74 +7,75 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// action is one kind of step with its share of a schedule.
+// action is one kind of step. weight determines how often it is chosen.
 type action struct {
-	name  string
-	share int
-	run   func(s *simulation)
+	name   string
+	weight int
+	run    func(s *simulation)
 }
 
 var actions = []action{
-	{"deliver", 200, (*simulation).deliver},
-	{"flush", 120, (*simulation).flushAny},
-	{"tick", 25, func(s *simulation) { s.withReplica(func(m *simulated) { m.replica.Tick() }) }},
-	{"ensure", 10, func(s *simulation) { s.withReplica(func(m *simulated) { m.replica.EnsureLeader() }) }},
-	{"propose", 20, (*simulation).propose},
-	{"read", 20, (*simulation).read},
-	{"lose", 5, (*simulation).lose},
-	{"repeat", 4, (*simulation).repeat},
-	{"suspect", 4, (*simulation).suspect},
-	{"trust", 12, (*simulation).trust},
-	{"detect", 3, (*simulation).detect},
-	{"cut", 3, (*simulation).cut},
-	{"isolate", 1, (*simulation).isolate},
-	{"depose", 1, (*simulation).depose},
-	{"mend", 6, func(s *simulation) { clear(s.blocked) }},
-	{"pause", 4, (*simulation).pause},
-	{"crash", 2, func(s *simulation) { s.anyone().crash() }},
-	{"forget", 1, (*simulation).forget},
-	{"compact", 3, func(s *simulation) { s.withReplica(func(m *simulated) { m.replica.Compact(0) }) }},
-	{"members", 3, (*simulation).wantMembers},
-	{"change", 2, (*simulation).change},
-	{"transfer", 1, (*simulation).transfer},
+	{"deliver", 200, (*simulation).deliverRandomMessage},
+	{"complete-write", 120, (*simulation).completeRandomWrite},
+	{"tick", 25, func(s *simulation) { s.withRandomReplica(func(m *simulatedNode) { m.replica.Tick() }) }},
+	{"ensure-leader", 10, func(s *simulation) { s.withRandomReplica(func(m *simulatedNode) { m.replica.EnsureLeader() }) }},
+	{"propose", 20, (*simulation).proposeAtRandomLeader},
+	{"read", 20, (*simulation).startRandomRead},
+	{"drop", 5, (*simulation).dropMessage},
+	{"duplicate", 4, (*simulation).duplicateMessage},
+	{"suspect", 4, (*simulation).suspectRandomNode},
+	{"reset-suspicions", 12, (*simulation).resetSuspicions},
+	{"suspect-unreachable", 3, (*simulation).suspectUnreachable},
+	{"block-link", 3, (*simulation).blockLink},
+	{"isolate-node", 1, (*simulation).isolateNode},
+	{"isolate-leader", 1, (*simulation).isolateLeaderAndCampaign},
+	{"unblock-links", 6, func(s *simulation) { clear(s.blocked) }},
+	{"pause", 4, (*simulation).pauseOrResume},
+	{"crash", 2, func(s *simulation) { s.randomNode().crash() }},
+	{"lose-memory", 1, (*simulation).loseMemory},
+	{"compact", 3, func(s *simulation) { s.withRandomReplica(func(m *simulatedNode) { m.replica.Compact(0) }) }},
+	{"set-desired-voters", 3, (*simulation).setRandomDesiredVoters},
+	{"propose-changes", 2, (*simulation).proposeRandomChanges},
+	{"transfer-leadership", 1, (*simulation).transferLeadership},
 }
 
-// profile gives actions other shares than the usual ones.
+// profile overrides the weights of some actions.
 type profile map[string]int
 
 var profiles = []profile{
 	{},
-	{"members": 15, "change": 30, "suspect": 8, "forget": 2},
-	{"isolate": 12, "detect": 20, "read": 40, "mend": 4},
-	{"isolate": 6, "detect": 30, "change": 30, "mend": 2, "ensure": 30, "read": 40},
-	{"depose": 15, "change": 0, "members": 0, "forget": 0, "cut": 0, "pause": 0, "suspect": 0, "mend": 0},
+	{"set-desired-voters": 15, "propose-changes": 30, "suspect": 8, "lose-memory": 2},
+	{"isolate-node": 12, "suspect-unreachable": 20, "read": 40, "unblock-links": 4},
+	{"isolate-node": 6, "suspect-unreachable": 30, "propose-changes": 30, "unblock-links": 2, "ensure-leader": 30, "read": 40},
+	{"isolate-leader": 15, "propose-changes": 0, "set-desired-voters": 0, "lose-memory": 0, "block-link": 0, "pause": 0, "suspect": 0, "unblock-links": 0},
 }
 
-func (p profile) share(a action) int {
-	if share, given := p[a.name]; given {
-		return share
+func (p profile) weight(a action) int {
+	if weight, found := p[a.name]; found {
+		return weight
 	}
-	return a.share
+	return a.weight
 }
 
 // step runs one action.
 func (s *simulation) step() {
-	s.steps++
+	s.stepCount++
 	total := 0
 	for _, a := range actions {
-		total += s.profile.share(a)
+		total += s.profile.weight(a)
 	}
-	at := s.choose(total)
+	choice := s.choose(total)
 	for _, a := range actions {
-		if at < s.profile.share(a) {
+		if choice < s.profile.weight(a) {
 			a.run(s)
 			return
 		}
-		at -= s.profile.share(a)
+		choice -= s.profile.weight(a)
 	}
 }
 
-// run goes on until a violation or the number of steps.
+// run runs the given number of steps, or fewer if there is a violation, which
+// it returns.
 func (s *simulation) run(steps int) string {
 	for range steps {
 		s.step()
@@ -85,13 +86,15 @@
 	return s.oracle.violation
 }
 
-func (s *simulation) anyone() *simulated { return s.members[s.names[s.choose(len(s.names))]] }
+func (s *simulation) randomNode() *simulatedNode {
+	return s.nodes[s.nodeNames[s.choose(len(s.nodeNames))]]
+}
 
-// among picks one of the working nodes that fit.
-func (s *simulation) among(fits func(m *simulated) bool) *simulated {
-	var fitting []*simulated
-	for _, name := range s.names {
-		if m := s.members[name]; m.replica != nil && !m.paused && fits(m) {
+// randomNodeWhere returns one of the running nodes that fit, or nil.
+func (s *simulation) randomNodeWhere(fits func(m *simulatedNode) bool) *simulatedNode {
+	var fitting []*simulatedNode
+	for _, name := range s.nodeNames {
+		if m := s.nodes[name]; m.replica != nil && !m.paused && fits(m) {
 			fitting = append(fitting, m)
 		}
 	}
@@ -101,175 +104,178 @@
 	return fitting[s.choose(len(fitting))]
 }
 
-func (s *simulation) flushAny() {
-	if m := s.among(func(m *simulated) bool { return len(m.unwritten) > 0 }); m != nil {
-		m.flush()
+func (s *simulation) completeRandomWrite() {
+	if m := s.randomNodeWhere(func(m *simulatedNode) bool { return len(m.pendingWrites) > 0 }); m != nil {
+		m.completeWrite()
 	}
 }
 
-func serving(m *simulated) bool { return m.replica.Serving() }
+func isServing(m *simulatedNode) bool { return m.replica.Serving() }
 
-func (s *simulation) withReplica(do func(m *simulated)) {
-	if m := s.among(func(*simulated) bool { return true }); m != nil {
-		do(m)
-		m.work()
+// withRandomReplica calls run for a running node, if there is one.
+func (s *simulation) withRandomReplica(run func(m *simulatedNode)) {
+	if m := s.randomNodeWhere(func(*simulatedNode) bool { return true }); m != nil {
+		run(m)
+		m.processReady()
 	}
 }
 
-func (s *simulation) deliver() {
-	if len(s.flying) == 0 {
+func (s *simulation) deliverRandomMessage() {
+	if len(s.inTransit) == 0 {
 		return
 	}
-	// Most messages arrive nearly in order, some long after others.
-	among := len(s.flying)
+	// Most messages arrive nearly in order, but some arrive long after others.
+	window := len(s.inTransit)
 	if s.choose(8) != 0 {
-		among = min(among, nearlyInOrder)
+		window = min(window, reorderWindow)
 	}
-	s.deliverAt(s.choose(among))
+	s.deliverAt(s.choose(window))
 }
 
-const nearlyInOrder = 4
+const reorderWindow = 4
 
-func (s *simulation) deliverAt(at int) {
-	f := s.flying[at]
-	to := s.members[f.to.Node]
+func (s *simulation) deliverAt(index int) {
+	transit := s.inTransit[index]
+	to := s.nodes[transit.to.Node]
 	if to.paused {
 		return
 	}
-	s.flying = slices.Delete(s.flying, at, at+1)
-	if !s.blocked[[2]structs.NodeID{f.from.Node, f.to.Node}] {
-		to.receive(f)
+	s.inTransit = slices.Delete(s.inTransit, index, index+1)
+	if !s.blocked[[2]structs.NodeID{transit.from.Node, transit.to.Node}] {
+		to.receive(transit)
 	}
 }
 
-func (s *simulation) lose() {
-	if len(s.flying) > 0 {
-		at := s.choose(len(s.flying))
-		s.flying = slices.Delete(s.flying, at, at+1)
+func (s *simulation) dropMessage() {
+	if len(s.inTransit) > 0 {
+		index := s.choose(len(s.inTransit))
+		s.inTransit = slices.Delete(s.inTransit, index, index+1)
 	}
 }
 
-func (s *simulation) repeat() {
-	if len(s.flying) > 0 {
-		s.flying = append(s.flying, s.flying[s.choose(len(s.flying))])
+func (s *simulation) duplicateMessage() {
+	if len(s.inTransit) > 0 {
+		s.inTransit = append(s.inTransit, s.inTransit[s.choose(len(s.inTransit))])
 	}
 }
 
-func (s *simulation) propose() {
-	if m := s.among(serving); m != nil && s.proposeAt(m) {
-		m.work()
+func (s *simulation) proposeAtRandomLeader() {
+	if m := s.randomNodeWhere(isServing); m != nil && s.proposeAt(m) {
+		m.processReady()
 	}
 }
 
-func (s *simulation) proposeAt(m *simulated) bool {
+func (s *simulation) proposeAt(m *simulatedNode) bool {
 	if !m.replica.Serving() {
 		return false
 	}
-	s.next++
-	index, term, err := m.replica.Propose([][]byte{fmt.Appendf(nil, "p%d", s.next)})
+	s.lastProposal++
+	index, term, err := m.replica.Propose([][]byte{fmt.Appendf(nil, "p%d", s.lastProposal)})
 	if err == nil {
 		m.proposals[index] = term
 	}
 	return err == nil
 }
 
-func (s *simulation) read() {
-	m := s.among(serving)
+func (s *simulation) startRandomRead() {
+	m := s.randomNodeWhere(isServing)
 	if m == nil {
 		return
 	}
 	if round, err := m.replica.ConfirmLeadership(); err == nil {
-		m.reads[round] = s.oracle.acknowledged
-		m.work()
+		m.reads[round] = s.oracle.highestAcknowledged
+		m.processReady()
 	}
 }
 
-func (s *simulation) suspect() {
-	other := s.anyone()
-	s.withReplica(func(m *simulated) {
+func (s *simulation) suspectRandomNode() {
+	other := s.randomNode()
+	s.withRandomReplica(func(m *simulatedNode) {
 		if other != m {
 			m.replica.SetSuspected(other.id, true)
 		}
 	})
 }
 
-func (s *simulation) trust() {
-	s.withReplica(func(m *simulated) { s.trustAll(m) })
+func (s *simulation) resetSuspicions() {
+	s.withRandomReplica(func(m *simulatedNode) { s.suspectOnlyFormerIncarnations(m) })
 }
 
-// trustAll makes a replica suspect the lives that are over, and no other.
-func (s *simulation) trustAll(m *simulated) {
-	for _, name := range s.names {
-		m.replica.SetSuspected(s.members[name].id, false)
+// suspectOnlyFormerIncarnations makes a replica suspect exactly the members
+// whose incarnation has ended.
+func (s *simulation) suspectOnlyFormerIncarnations(m *simulatedNode) {
+	for _, name := range s.nodeNames {
+		m.replica.SetSuspected(s.nodes[name].id, false)
 	}
 	for _, member := range m.replica.Members() {
-		m.replica.SetSuspected(member.ID(), s.members[member.Node].id != member.ID().WithoutAdmission())
+		m.replica.SetSuspected(member.ID(), s.nodes[member.Node].id != member.ID().WithoutAdmission())
 	}
 }
 
-func (s *simulation) cut() {
-	one, other := s.anyone(), s.anyone()
-	if one == other {
+func (s *simulation) blockLink() {
+	first, second := s.randomNode(), s.randomNode()
+	if first == second {
 		return
 	}
-	s.blocked[[2]structs.NodeID{one.id.Node, other.id.Node}] = true
+	s.blocked[[2]structs.NodeID{first.id.Node, second.id.Node}] = true
 	if s.choose(2) == 0 {
-		s.blocked[[2]structs.NodeID{other.id.Node, one.id.Node}] = true
+		s.blocked[[2]structs.NodeID{second.id.Node, first.id.Node}] = true
 	}
 }
 
-// pause freezes a member, or wakes all that are frozen.
-func (s *simulation) pause() {
+// pauseOrResume pauses a node, or resumes all paused nodes.
+func (s *simulation) pauseOrResume() {
 	if s.choose(2) == 0 {
-		s.anyone().paused = true
+		s.randomNode().paused = true
 		return
 	}
-	for _, m := range s.members {
+	for _, m := range s.nodes {
 		m.paused = false
 	}
 }
 
-// isolate cuts a node off from all others.
-func (s *simulation) isolate() {
-	alone := s.anyone()
-	for _, name := range s.names {
-		s.blocked[[2]structs.NodeID{alone.id.Node, name}] = true
-		s.blocked[[2]structs.NodeID{name, alone.id.Node}] = true
+// isolateNode blocks the links between a node and all others.
+func (s *simulation) isolateNode() {
+	isolated := s.randomNode()
+	for _, name := range s.nodeNames {
+		s.blocked[[2]structs.NodeID{isolated.id.Node, name}] = true
+		s.blocked[[2]structs.NodeID{name, isolated.id.Node}] = true
 	}
 }
 
-// depose cuts a leader off, lets the others suspect it and one of them campaign.
-func (s *simulation) depose() {
-	leader := s.among(func(m *simulated) bool { return m.replica.role == Leader })
+// isolateLeaderAndCampaign isolates a leader, makes the other nodes suspect
+// it, and starts a campaign on one of them.
+func (s *simulation) isolateLeaderAndCampaign() {
+	leader := s.randomNodeWhere(func(m *simulatedNode) bool { return m.replica.role == Leader })
 	if leader == nil {
 		return
 	}
 	clear(s.blocked)
-	for _, name := range s.names {
+	for _, name := range s.nodeNames {
 		s.blocked[[2]structs.NodeID{leader.id.Node, name}] = true
 		s.blocked[[2]structs.NodeID{name, leader.id.Node}] = true
 	}
-	s.detect()
-	if next := s.among(func(m *simulated) bool { return m != leader }); next != nil {
+	s.suspectUnreachable()
+	if next := s.randomNodeWhere(func(m *simulatedNode) bool { return m != leader }); next != nil {
 		next.replica.Campaign()
-		next.work()
+		next.processReady()
 	}
 }
 
-// detect makes every working member suspect those that it cannot reach or
-// that are paused, and trust the others, as a failure detector would.
-func (s *simulation) detect() {
-	for _, name := range s.names {
-		m := s.members[name]
+// suspectUnreachable makes every running member suspect those that are paused
+// or unreachable and trust the others, as a failure detector would.
+func (s *simulation) suspectUnreachable() {
+	for _, name := range s.nodeNames {
+		m := s.nodes[name]
 		if m.replica == nil || m.paused {
 			continue
 		}
-		s.trustAll(m)
-		for _, other := range s.names {
-			if s.members[other].paused || s.blocked[[2]structs.NodeID{other, name}] {
-				m.replica.SetSuspected(s.members[other].id, true)
+		s.suspectOnlyFormerIncarnations(m)
+		for _, other := range s.nodeNames {
+			if s.nodes[other].paused || s.blocked[[2]structs.NodeID{other, name}] {
+				m.replica.SetSuspected(s.nodes[other].id, true)
 			}
 		}
-		m.work()
+		m.processReady()
 	}
 }
--- a/internal/journal/step.go
+++ b/internal/journal/step.go
@@ -2,9 +2,9 @@
 
 import "github.com/barleyshelf/barleyshelf/internal/gen/journalv1"
 
-// Step takes one message from a member; a vote of the replica itself comes the
-// same way. A message to another identity of
-// this node is dropped: it concerns promises that this one never made.
+// Step processes one message from a member, or the replica's own vote. A
+// message to another identity of this node is dropped, because it concerns
+// votes and acknowledgements that this identity never gave.
 func (r *Replica) Step(from, to MemberID, m *journalv1.Message) {
 	if to != r.config.Self || r.removed {
 		return
@@ -20,8 +20,8 @@
 	r.dispatch(from, m)
 }
 
-// stepHigherTerm moves to the message's term, except for messages that only
-// ask or promise something for a term that may never come.
+// stepHigherTerm moves to the message's term, except for pre-votes and granted
+// pre-votes, whose term may never begin.
 func (r *Replica) stepHigherTerm(from MemberID, m *journalv1.Message) {
 	switch m.Type {
 	case journalv1.MessageType_MESSAGE_TYPE_PRE_VOTE:
@@ -40,28 +40,29 @@
 }
 
 // stepLowerTerm answers a message of an older term so that its sender learns
-// of the newer one. It reports whether the message is to be handled further.
+// the newer term. It reports whether the message must be processed further.
 func (r *Replica) stepLowerTerm(from MemberID, m *journalv1.Message) bool {
 	switch m.Type {
 	case journalv1.MessageType_MESSAGE_TYPE_PRE_VOTE, journalv1.MessageType_MESSAGE_TYPE_PROBE,
 		journalv1.MessageType_MESSAGE_TYPE_REMOVED:
 		return true
 	case journalv1.MessageType_MESSAGE_TYPE_VOTE:
-		r.sendStored(from, &journalv1.Message{
+		r.sendAfterStore(from, &journalv1.Message{
 			Type: journalv1.MessageType_MESSAGE_TYPE_VOTE_ANSWER, Term: r.term, Reject: true,
 		})
 	case journalv1.MessageType_MESSAGE_TYPE_APPEND, journalv1.MessageType_MESSAGE_TYPE_CONFIRM,
 		journalv1.MessageType_MESSAGE_TYPE_SNAPSHOT:
-		r.sendStored(from, &journalv1.Message{
+		r.sendAfterStore(from, &journalv1.Message{
 			Type: journalv1.MessageType_MESSAGE_TYPE_APPEND_ANSWER, Term: r.term, Reject: true,
 		})
 	}
 	return false
 }
 
-// MayCreateReplica reports whether a message of this kind may begin an empty replica at
-// a daemon that was not a member under the identity the message is for: that
-// identity holds no vote and no entry, and has forgotten none.
+// MayCreateReplica reports whether a message of this type may create an empty
+// replica on a daemon that was never a member under the recipient's identity.
+// That identity has given no vote and stored no entry, so none can be
+// forgotten.
 func MayCreateReplica(kind journalv1.MessageType) bool {
 	switch kind {
 	case journalv1.MessageType_MESSAGE_TYPE_APPEND, journalv1.MessageType_MESSAGE_TYPE_SNAPSHOT,
@@ -74,7 +75,7 @@
 func (r *Replica) dispatch(from MemberID, m *journalv1.Message) {
 	switch m.Type {
 	case journalv1.MessageType_MESSAGE_TYPE_PRE_VOTE:
-		r.notifyRemoved(from)
+		r.notifyIfRemoved(from)
 		r.stepPreVote(from, m)
 	case journalv1.MessageType_MESSAGE_TYPE_PRE_VOTE_ANSWER:
 		r.stepVoteAnswer(from, m, PreCandidate)
@@ -83,7 +84,7 @@
 	case journalv1.MessageType_MESSAGE_TYPE_VOTE_ANSWER:
 		r.stepVoteAnswer(from, m, Candidate)
 	case journalv1.MessageType_MESSAGE_TYPE_PROBE:
-		r.notifyRemoved(from)
+		r.notifyIfRemoved(from)
 		r.stepProbe(from)
 	case journalv1.MessageType_MESSAGE_TYPE_PROBE_ANSWER:
 		r.stepProbeAnswer(from, m)
@@ -99,26 +100,27 @@
 func (r *Replica) dispatchReplication(from MemberID, m *journalv1.Message) {
 	switch m.Type {
 	case journalv1.MessageType_MESSAGE_TYPE_APPEND:
-		r.follow(from)
+		r.followLeader(from)
 		r.stepAppend(from, m)
 	case journalv1.MessageType_MESSAGE_TYPE_APPEND_ANSWER:
 		r.stepAppendAnswer(from, m)
 	case journalv1.MessageType_MESSAGE_TYPE_CONFIRM:
-		r.follow(from)
+		r.followLeader(from)
 		r.stepConfirm(from, m)
 	case journalv1.MessageType_MESSAGE_TYPE_CONFIRM_ANSWER:
 		r.stepConfirmAnswer(from, m)
 	case journalv1.MessageType_MESSAGE_TYPE_SNAPSHOT:
-		r.follow(from)
+		r.followLeader(from)
 		r.stepSnapshot(from, m)
 	case journalv1.MessageType_MESSAGE_TYPE_SNAPSHOT_ANSWER:
 		r.stepSnapshotAnswer(from, m)
 	}
 }
 
-// follow takes the sender of a message that only a leader of this term sends
-// as the leader. It ends no probe: the message may be older than that.
-func (r *Replica) follow(leader MemberID) {
+// followLeader accepts the sender of a message that only a leader of this term
+// sends as the leader. It does not end a probe, because the message may be
+// older than the probe.
+func (r *Replica) followLeader(leader MemberID) {
 	if r.role == Leader {
 		return
 	}
@@ -127,10 +129,10 @@
 	}
 }
 
-// notifyRemoved tells a sender that the committed membership known here does not
-// name it. A sender that was admitted since then ignores it.
-func (r *Replica) notifyRemoved(from MemberID) {
-	committed := r.membershipAt(r.commit)
+// notifyIfRemoved tells the sender if the committed membership known here does
+// not include it. A sender that was admitted later ignores the notice.
+func (r *Replica) notifyIfRemoved(from MemberID) {
+	committed := r.membershipAt(r.commitIndex)
 	if _, member := committed.find(from); member || committed.index == 0 {
 		return
 	}
@@ -138,28 +140,29 @@
 }
 
 func (r *Replica) sendRemoved(to MemberID) {
-	committed := r.membershipAt(r.commit)
-	r.sendEarly(to, &journalv1.Message{
-		Type: journalv1.MessageType_MESSAGE_TYPE_REMOVED, Term: r.term, Index: r.commit, Membership: committed.encode(),
+	committed := r.membershipAt(r.commitIndex)
+	r.sendImmediately(to, &journalv1.Message{
+		Type: journalv1.MessageType_MESSAGE_TYPE_REMOVED, Term: r.term, Index: r.commitIndex, Membership: committed.encode(),
 	})
 }
 
-// stepRemoved drops out when a committed membership, set after the position at
-// which the replica was admitted, does not name it: then the removal was
-// committed, or the admission never can be. No identity is admitted twice.
+// stepRemoved marks the replica as removed if a committed membership does not
+// include it and is newer than the replica's admission. Then either the
+// removal was committed or the admission never can be. No identity is admitted
+// twice.
 func (r *Replica) stepRemoved(m *journalv1.Message) {
-	told := newMembership(m.Membership.GetIndex(), m.Membership)
-	if _, member := told.find(r.config.Self); member || position(told.term, told.index) < r.config.Self.Admission {
+	committed := newMembership(m.Membership.GetIndex(), m.Membership)
+	if _, member := committed.find(r.config.Self); member || position(committed.term, committed.index) < r.config.Self.Admission {
 		return
 	}
 	r.markRemoved()
-	r.memberships = []membership{told}
+	r.memberships = []membership{committed}
 }
 
 func (r *Replica) stepTimeoutNow(from MemberID) {
-	if r.role != Follower || r.leader != from || r.removed || !r.current().isVoter(r.config.Self) {
+	if r.role != Follower || r.leader != from || r.removed || !r.currentMembership().isVoter(r.config.Self) {
 		return
 	}
-	r.election = election{giveUpIn: r.config.CampaignTicks, transfer: true}
-	r.stand()
+	r.election = election{giveUpTicksLeft: r.config.CampaignTicks, isTransfer: true}
+	r.startElection()
 }
--- a/internal/journal/tick.go
+++ b/internal/journal/tick.go
@@ -1,48 +1,48 @@
 package journal
 
-// Tick lets one unit of time pass. It needs to be called only while Active.
+// Tick advances time by one tick. It needs to be called only while NeedsTicks.
 func (r *Replica) Tick() {
 	switch r.role {
 	case Leader:
 		r.tickLeader()
 	case Follower:
-		r.tickDoubt()
+		r.tickLeaderProbe()
 	default:
-		r.tickElection()
+		r.tickCampaign()
 	}
 }
 
-// NeedsTicks reports whether something is outstanding, so that time matters. An
-// idle replica is not active.
+// NeedsTicks reports whether timeouts may be pending. An idle replica needs no
+// ticks.
 func (r *Replica) NeedsTicks() bool {
 	switch r.role {
 	case Leader:
-		return r.leaderActive()
+		return r.leaderNeedsTicks()
 	case Follower:
-		return r.doubt.probing || r.election.patience > 0
+		return r.leaderProbe.active || r.election.yieldTicksLeft > 0
 	default:
 		return true
 	}
 }
 
-func (r *Replica) leaderActive() bool {
-	if r.commit < r.log.last() || r.roundOpen() || r.leading.transferIn > 0 || len(r.leading.departing) > 0 {
+func (r *Replica) leaderNeedsTicks() bool {
+	if r.commitIndex < r.log.lastIndex() || r.confirmationPending() || r.leaderState.transferTicksLeft > 0 || len(r.leaderState.removalNoticesLeft) > 0 {
 		return true
 	}
-	for id, peer := range r.leading.peers {
-		if !r.suspected[id.WithoutAdmission()] && r.outstanding(peer) {
+	for id, peer := range r.leaderState.peers {
+		if !r.suspected[id.WithoutAdmission()] && r.hasOutstanding(peer) {
 			return true
 		}
 	}
-	return r.reconcileOutstanding()
+	return r.reconcilePending()
 }
 
-func (r *Replica) roundOpen() bool {
-	return r.leading.rounds.confirmed < r.leading.rounds.asked
+func (r *Replica) confirmationPending() bool {
+	return r.leaderState.confirmation.lastConfirmed < r.leaderState.confirmation.lastStarted
 }
 
-func (r *Replica) outstanding(peer *progress) bool {
-	return peer.match < r.log.last() || peer.known < r.commit
+func (r *Replica) hasOutstanding(peer *progress) bool {
+	return peer.match < r.log.lastIndex() || peer.knownCommit < r.commitIndex
 }
 
 func (r *Replica) tickLeader() {
@@ -51,105 +51,105 @@
 	}
 	r.tickTransfer()
 	for _, id := range r.peerIDs() {
-		peer := r.leading.peers[id]
-		if r.suspected[id.WithoutAdmission()] || !r.outstanding(peer) {
-			peer.waited = 0
+		peer := r.leaderState.peers[id]
+		if r.suspected[id.WithoutAdmission()] || !r.hasOutstanding(peer) {
+			peer.waitedTicks = 0
 			continue
 		}
 		r.tickPeer(id, peer)
 	}
-	r.tickDeparting()
+	r.tickRemovalNotices()
 	r.reconcile()
 	r.probeLearners()
 }
 
-// probeLearners asks learners that have caught up for a sign of life: one that
-// died meanwhile must not become a voter.
+// probeLearners probes learners that have caught up, because a learner that
+// failed meanwhile must not become a voter.
 func (r *Replica) probeLearners() {
-	for _, member := range r.current().members {
-		peer, known := r.leading.peers[member.ID()]
+	for _, member := range r.currentMembership().members {
+		peer, known := r.leaderState.peers[member.ID()]
 		if !known {
 			continue
 		}
-		if member.Learner && r.isWanted(member.ID()) && r.caughtUp(member.ID()) && !peer.fresh {
+		if member.Learner && r.isDesired(member.ID()) && r.caughtUp(member.ID()) && !peer.answeredSinceTick {
 			r.sendProbeAppend(member.ID(), peer)
 		}
-		peer.fresh = false
+		peer.answeredSinceTick = false
 	}
 }
 
-// tickQuorum gives leadership up when work waits for a majority that does not
-// answer, so that those who wait are told.
+// tickQuorum steps down if work waits for a majority that does not answer, so
+// that the callers that wait are told.
 func (r *Replica) tickQuorum() {
-	if r.commit == r.log.last() && !r.roundOpen() {
-		r.leading.silent = 0
+	if r.commitIndex == r.log.lastIndex() && !r.confirmationPending() {
+		r.leaderState.ticksWithoutMajority = 0
 		return
 	}
-	r.leading.silent++
-	if r.roundOpen() && r.leading.silent%r.config.RetransmitTicks == 0 {
+	r.leaderState.ticksWithoutMajority++
+	if r.confirmationPending() && r.leaderState.ticksWithoutMajority%r.config.RetransmitTicks == 0 {
 		r.sendConfirms()
 	}
-	if r.leading.silent >= r.config.QuorumTicks {
+	if r.leaderState.ticksWithoutMajority >= r.config.QuorumTicks {
 		r.becomeFollower(r.term, MemberID{})
 	}
 }
 
 func (r *Replica) tickPeer(id MemberID, peer *progress) {
-	peer.waited++
-	if peer.waited >= peer.delay {
-		peer.waited = 0
-		peer.delay = min(2*peer.delay, r.config.RetransmitTicks*maxRetransmitFactor)
+	peer.waitedTicks++
+	if peer.waitedTicks >= peer.retransmitDelayTicks {
+		peer.waitedTicks = 0
+		peer.retransmitDelayTicks = min(2*peer.retransmitDelayTicks, r.config.RetransmitTicks*maxRetransmitFactor)
 		r.retransmit(id, peer)
 		return
 	}
-	if peer.match == r.log.last() && peer.noticed < r.commit {
-		peer.noticed = r.commit
+	if peer.match == r.log.lastIndex() && peer.notifiedCommit < r.commitIndex {
+		peer.notifiedCommit = r.commitIndex
 		r.sendProbeAppend(id, peer)
 	}
 }
 
 func (r *Replica) retransmit(id MemberID, peer *progress) {
-	if peer.snapshot != 0 {
-		peer.sent, peer.retransmitted = peer.offset, true
+	if peer.snapshotIndex != 0 {
+		peer.snapshotSent, peer.snapshotRetransmitted = peer.snapshotAcknowledged, true
 		r.sendChunks(id, peer)
 		return
 	}
 	peer.next = peer.match + 1
 	peer.probing = true
-	peer.flight, peer.bytes = nil, 0
+	peer.inflight, peer.inflightBytes = nil, 0
 	r.sendProbeAppend(id, peer)
 }
 
-func (r *Replica) tickDeparting() {
-	if r.current().index > r.commit {
+func (r *Replica) tickRemovalNotices() {
+	if r.currentMembership().index > r.commitIndex {
 		return
 	}
-	for id, left := range r.leading.departing {
-		if left == 0 || r.suspected[id.WithoutAdmission()] {
-			delete(r.leading.departing, id)
+	for id, remaining := range r.leaderState.removalNoticesLeft {
+		if remaining == 0 || r.suspected[id.WithoutAdmission()] {
+			delete(r.leaderState.removalNoticesLeft, id)
 			continue
 		}
-		r.leading.departing[id] = left - 1
+		r.leaderState.removalNoticesLeft[id] = remaining - 1
 		r.sendRemoved(id)
 	}
 }
 
-// SetSuspected tells the replica what the failure detector holds of a member,
-// or of a life that may become one.
+// SetSuspected sets whether the failure detector suspects a member or an
+// incarnation that may become one.
 func (r *Replica) SetSuspected(id MemberID, suspected bool) {
 	if !suspected {
 		delete(r.suspected, id.WithoutAdmission())
 	} else {
 		r.suspected[id.WithoutAdmission()] = true
 	}
-	for peerID, peer := range r.leading.peers {
+	for peerID, peer := range r.leaderState.peers {
 		switch {
 		case peerID.WithoutAdmission() != id.WithoutAdmission():
 		case suspected:
-			r.abandonSnapshot(peer)
+			r.stopSnapshot(peer)
 		default:
-			peer.delay = r.config.RetransmitTicks
-			peer.waited = peer.delay
+			peer.retransmitDelayTicks = r.config.RetransmitTicks
+			peer.waitedTicks = peer.retransmitDelayTicks
 		}
 	}
 }
--- a/internal/journal/transfer.go
+++ b/internal/journal/transfer.go
@@ -2,54 +2,57 @@
 
 import "github.com/barleyshelf/barleyshelf/internal/gen/journalv1"
 
-// transferTickFactor bounds a transfer, in multiples of ElectionTicks.
+// transferTickFactor limits the time of a transfer, in multiples of
+// ElectionTicks.
 const transferTickFactor = 4
 
-// TransferLeadership asks a voter to lead next. Proposals are refused until
-// the transfer succeeded or its time is over. It reports whether one began.
+// TransferLeadership asks a voter to become leader. Proposals are rejected
+// until the transfer succeeds or times out. It reports whether a transfer
+// started.
 func (r *Replica) TransferLeadership(to MemberID) bool {
-	peer, known := r.leading.peers[to]
-	if r.role != Leader || !known || !r.current().isVoter(to) || r.leading.transferIn > 0 {
+	peer, known := r.leaderState.peers[to]
+	if r.role != Leader || !known || !r.currentMembership().isVoter(to) || r.leaderState.transferTicksLeft > 0 {
 		return false
 	}
-	r.leading.transferTo = to
-	r.leading.transferIn = transferTickFactor * r.config.ElectionTicks
-	r.continueTransfer(to, peer)
+	r.leaderState.transferTarget = to
+	r.leaderState.transferTicksLeft = transferTickFactor * r.config.ElectionTicks
+	r.completeTransferIfCaughtUp(to, peer)
 	return true
 }
 
-// TransferTarget returns the reachable voter whose log is the longest.
+// TransferTarget returns the reachable voter with the longest log.
 func (r *Replica) TransferTarget() (MemberID, bool) {
 	best, found := MemberID{}, false
 	for _, id := range r.peerIDs() {
-		if r.suspected[id.WithoutAdmission()] || !r.current().isVoter(id) {
+		if r.suspected[id.WithoutAdmission()] || !r.currentMembership().isVoter(id) {
 			continue
 		}
-		if !found || r.leading.peers[id].match > r.leading.peers[best].match {
+		if !found || r.leaderState.peers[id].match > r.leaderState.peers[best].match {
 			best, found = id, true
 		}
 	}
 	return best, found
 }
 
-// continueTransfer tells the next leader to campaign once it holds the whole log.
-func (r *Replica) continueTransfer(id MemberID, peer *progress) {
-	if r.leading.transferIn == 0 || r.leading.transferTo != id || peer.match < r.log.last() {
+// completeTransferIfCaughtUp tells the transfer target to start an election
+// once it holds the whole log.
+func (r *Replica) completeTransferIfCaughtUp(id MemberID, peer *progress) {
+	if r.leaderState.transferTicksLeft == 0 || r.leaderState.transferTarget != id || peer.match < r.log.lastIndex() {
 		return
 	}
-	r.sendEarly(id, &journalv1.Message{Type: journalv1.MessageType_MESSAGE_TYPE_TIMEOUT_NOW, Term: r.term})
+	r.sendImmediately(id, &journalv1.Message{Type: journalv1.MessageType_MESSAGE_TYPE_TIMEOUT_NOW, Term: r.term})
 }
 
 func (r *Replica) tickTransfer() {
-	if r.leading.transferIn == 0 {
+	if r.leaderState.transferTicksLeft == 0 {
 		return
 	}
-	r.leading.transferIn--
-	if r.leading.transferIn == 0 {
-		r.leading.transferTo = MemberID{}
+	r.leaderState.transferTicksLeft--
+	if r.leaderState.transferTicksLeft == 0 {
+		r.leaderState.transferTarget = MemberID{}
 		return
 	}
-	if peer, known := r.leading.peers[r.leading.transferTo]; known && r.leading.transferIn%r.config.RetransmitTicks == 0 {
-		r.continueTransfer(r.leading.transferTo, peer)
+	if peer, known := r.leaderState.peers[r.leaderState.transferTarget]; known && r.leaderState.transferTicksLeft%r.config.RetransmitTicks == 0 {
+		r.completeTransferIfCaughtUp(r.leaderState.transferTarget, peer)
 	}
 }
