--- a/internal/proof/backend.go
+++ b/internal/proof/backend.go
@@ -10,13 +10,14 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// engine is a model engine: streams by id, and memory held for programs.
+// engine is a simulated model engine. It holds streams by dispatch key and memory
+// for programs.
 type engine struct {
-	cluster     *cluster
-	name        string
-	incarnation structs.Incarnation
-	streams     map[string]*stream
-	holds       map[structs.ProgramID]bool
+	cluster      *cluster
+	name         string
+	incarnation  structs.Incarnation
+	streams      map[string]*stream
+	heldPrograms map[structs.ProgramID]bool
 }
 
 type stream struct {
@@ -26,9 +27,9 @@
 }
 
 type streamResult struct {
-	text            string
-	tokens          int64
-	gone, cancelled bool
+	text                     string
+	tokens                   int64
+	unknownStream, cancelled bool
 }
 
 func newEngine(c *cluster, name string) *engine {
@@ -46,34 +47,36 @@
 	return nil
 }
 
-// restart loses all streams and memory; the engine is another incarnation.
+// restart loses all streams and memory and starts a new incarnation.
 func (e *engine) restart() {
 	e.incarnation++
 	e.streams = map[string]*stream{}
-	e.holds = map[structs.ProgramID]bool{}
+	e.heldPrograms = map[structs.ProgramID]bool{}
 }
 
-// generate opens the stream of the call's key.
-func (e *engine) generate(call *program.Call, segments []string, listen func(streamResult)) {
+// openStream opens a stream for the dispatch key of the call, or attaches to it if
+// it exists.
+func (e *engine) openStream(call *program.Call, segments []string, listen func(streamResult)) {
 	if call.TargetIncarnation != e.incarnation {
-		listen(streamResult{gone: true})
+		listen(streamResult{unknownStream: true})
 		return
 	}
 	if _, exists := e.streams[call.DispatchKey]; !exists {
-		opened := &stream{result: streamResult{text: digest(segments), tokens: promptTokens(segments) + answerTokens}}
+		opened := &stream{result: streamResult{text: answerForPrompt(segments), tokens: promptTokens(segments) + answerTokens}}
 		e.streams[call.DispatchKey] = opened
-		e.holds[call.Program] = true
-		e.cluster.checker.ranModel(call, segments, opened.result)
+		e.heldPrograms[call.Program] = true
+		e.cluster.checker.recordModelExecution(call, segments, opened.result)
 	}
-	e.join(call, listen)
+	e.attach(call, listen)
 }
 
-// join listens to a stream that is open or done.
-func (e *engine) join(call *program.Call, listen func(streamResult)) {
+// attach registers a listener for the result of a stream. If the stream is
+// finished, the listener is called immediately.
+func (e *engine) attach(call *program.Call, listen func(streamResult)) {
 	found, exists := e.streams[call.DispatchKey]
 	switch {
 	case !exists:
-		listen(streamResult{gone: true})
+		listen(streamResult{unknownStream: true})
 	case found.done:
 		listen(found.result)
 	default:
@@ -81,8 +84,9 @@
 	}
 }
 
-// digest is the engine's answer: it depends on the whole prompt.
-func digest(segments []string) string {
+// answerForPrompt returns the answer of the engine, which depends on the complete
+// prompt.
+func answerForPrompt(segments []string) string {
 	sum := fnv.New64a()
 	for _, segment := range segments {
 		fmt.Fprintf(sum, "%d:%s", len(segment), segment)
@@ -90,17 +94,18 @@
 	return fmt.Sprintf("answer-%016x", sum.Sum64())
 }
 
-// step ends one stream.
-func (e *engine) step() {
+// finishOneStream finishes the first open stream, or, while faults are injected, a
+// random one or none.
+func (e *engine) finishOneStream() {
 	for _, key := range slices.Sorted(maps.Keys(e.streams)) {
-		if found := e.streams[key]; !found.done && (e.cluster.calm || e.cluster.chance(2)) {
-			e.end(found)
+		if found := e.streams[key]; !found.done && (e.cluster.faultFree || e.cluster.oneIn(2)) {
+			e.finishStream(found)
 			return
 		}
 	}
 }
 
-func (e *engine) end(found *stream) {
+func (e *engine) finishStream(found *stream) {
 	found.done = true
 	for _, listen := range found.listeners {
 		listen(found.result)
@@ -108,32 +113,35 @@
 	found.listeners = nil
 }
 
-// cancel stops a stream. One that is done has its answer; one that the engine
-// does not know counts as cancelled.
-func (e *engine) cancel(key string) streamResult {
+// cancelStream cancels a stream and returns its result. A finished stream keeps its
+// answer. An unknown stream counts as cancelled.
+func (e *engine) cancelStream(key string) streamResult {
 	found, exists := e.streams[key]
 	if !exists {
 		return streamResult{cancelled: true}
 	}
 	if !found.done {
 		found.result.cancelled = true
-		e.end(found)
+		e.finishStream(found)
 	}
 	return found.result
 }
 
-func (e *engine) holders() []structs.ProgramID { return slices.Sorted(maps.Keys(e.holds)) }
+func (e *engine) heldProgramIDs() []structs.ProgramID {
+	return slices.Sorted(maps.Keys(e.heldPrograms))
+}
 
-// toolService is a tool that cannot tell a repeat, save by what it ran.
+// toolService is a simulated tool. It does not detect repeated calls, but reports
+// the result of a call that it executed.
 type toolService struct {
-	cluster *cluster
-	results map[string]string
-	serial  int
+	cluster        *cluster
+	results        map[string]string
+	executionCount int
 }
 
 type toolResult struct {
-	text    string
-	refused bool
+	text     string
+	rejected bool
 }
 
 func newToolService(c *cluster) *toolService {
@@ -142,19 +150,20 @@
 
 func (t *toolService) name() string { return "tool" }
 
-// call runs a call, refuses it, or hangs before or after its effect.
+// call executes a call or rejects it. In some cases it does not answer, before or
+// after executing the call.
 func (t *toolService) call(call *program.Call, answer func(toolResult)) {
 	switch t.cluster.random.IntN(12) {
 	case 0:
-		answer(toolResult{refused: true})
+		answer(toolResult{rejected: true})
 		return
 	case 1:
 		return
 	}
-	t.serial++
-	text := fmt.Sprintf("result-%d of %s.%d", t.serial, call.Program, call.Number)
+	t.executionCount++
+	text := fmt.Sprintf("result-%d of %s.%d", t.executionCount, call.Program, call.Number)
 	t.results[call.DispatchKey] = text
-	t.cluster.checker.ranTool(call, text)
+	t.cluster.checker.recordToolExecution(call, text)
 	if t.cluster.random.IntN(8) > 0 {
 		answer(toolResult{text: text})
 	}
--- a/internal/proof/dispatcher.go
+++ b/internal/proof/dispatcher.go
@@ -12,42 +12,47 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// patience is how many turns of a leader a dispatch may go without an answer.
-const patience = 10
+// answerTimeoutTurns is the number of leader turns after which a dispatch without an
+// answer is resumed.
+const answerTimeoutTurns = 10
 
-// dispatcher is a leader's work on its shard. It follows the rules that package
-// program asks of one: decisions of a family of programs one at a time, nothing
-// sent before Dispatched confirms it, refusals only after a confirmed read.
+// dispatcher does the work of the leader of the shard. It follows the rules of
+// package program: one decision at a time for programs that share an ancestor,
+// no dispatch before Dispatched confirms it, and no rejection before a confirmed
+// read.
 type dispatcher struct {
 	node *node
 	term uint64
-	// pending are this leader's proposals by the index of their entry.
-	pending map[uint64]proposal
-	// busy are the roots of families with a proposal under way.
-	busy map[structs.ProgramID]bool
-	// waiting counts down for dispatches whose answer this leader awaits.
-	waiting map[string]int
-	// tasks are decisions put off because their family was busy.
-	tasks    []func()
-	confirms map[uint64][]func()
+	// pendingProposals are the proposals of this leader by entry index.
+	pendingProposals map[uint64]pendingProposal
+	// busyRoots are the root programs with a pending proposal.
+	busyRoots map[structs.ProgramID]bool
+	// turnsLeft is the number of remaining turns by dispatch key while this
+	// leader waits for an answer.
+	turnsLeft map[string]int
+	// deferredTasks are decisions deferred because their root was busy, and
+	// confirmed tasks.
+	deferredTasks []func()
+	// pendingConfirmations are the tasks that wait for a confirmation round.
+	pendingConfirmations map[uint64][]func()
 }
 
-type proposal struct {
-	term uint64
-	done func(applied bool)
+type pendingProposal struct {
+	term      uint64
+	onDecided func(applied bool)
 }
 
 func (d *dispatcher) reset(n *node) {
 	*d = dispatcher{
-		node: n, pending: map[uint64]proposal{}, busy: map[structs.ProgramID]bool{},
-		waiting: map[string]int{}, confirms: map[uint64][]func(){},
+		node: n, pendingProposals: map[uint64]pendingProposal{}, busyRoots: map[structs.ProgramID]bool{},
+		turnsLeft: map[string]int{}, pendingConfirmations: map[uint64][]func(){},
 	}
 }
 
-// observe starts afresh in each term that the node begins to serve. All
-// proposals of earlier terms are decided by then.
-func (d *dispatcher) observe() {
-	if !d.node.serving() {
+// resetInNewTerm resets the dispatcher in each term in which the node becomes
+// leader. All proposals of earlier terms are decided by then.
+func (d *dispatcher) resetInNewTerm() {
+	if !d.node.isServing() {
 		return
 	}
 	if _, term, _, _, _ := d.node.replica.BasicStatus(); term != d.term {
@@ -56,39 +61,40 @@
 	}
 }
 
-func (d *dispatcher) applied(entry *journalv1.Entry) {
-	if waiting, found := d.pending[entry.Index]; found {
-		delete(d.pending, entry.Index)
-		waiting.done(waiting.term == entry.Term)
+func (d *dispatcher) completeProposal(entry *journalv1.Entry) {
+	if pending, found := d.pendingProposals[entry.Index]; found {
+		delete(d.pendingProposals, entry.Index)
+		pending.onDecided(pending.term == entry.Term)
 	}
 }
 
-func (d *dispatcher) confirmed(round uint64) {
-	for _, asked := range slices.Sorted(maps.Keys(d.confirms)) {
-		if asked <= round {
-			d.tasks = append(d.tasks, d.confirms[asked]...)
-			delete(d.confirms, asked)
+func (d *dispatcher) completeConfirmations(round uint64) {
+	for _, requestedRound := range slices.Sorted(maps.Keys(d.pendingConfirmations)) {
+		if requestedRound <= round {
+			d.deferredTasks = append(d.deferredTasks, d.pendingConfirmations[requestedRound]...)
+			delete(d.pendingConfirmations, requestedRound)
 		}
 	}
 }
 
-// confirm runs the task once this node is known to lead still.
-func (d *dispatcher) confirm(task func()) {
-	if !d.node.serving() {
+// runAfterConfirmation runs the task after a majority confirmed the leadership of
+// this node.
+func (d *dispatcher) runAfterConfirmation(task func()) {
+	if !d.node.isServing() {
 		return
 	}
 	if round, err := d.node.replica.ConfirmLeadership(); err == nil {
-		d.confirms[round] = append(d.confirms[round], task)
-		d.node.work()
+		d.pendingConfirmations[round] = append(d.pendingConfirmations[round], task)
+		d.node.processReady()
 	}
 }
 
-// decider asks the node's state machine for a decision.
-type decider func(m *program.Machine) (program.Decision, error)
+// decisionFunc makes a decision with the node's state machine.
+type decisionFunc func(m *program.Machine) (program.Decision, error)
 
-// root is the oldest ancestor of a program: decisions of a family concern one
-// another's budgets.
-func (d *dispatcher) root(id structs.ProgramID) structs.ProgramID {
+// rootProgram returns the oldest ancestor of a program. Decisions of its descendants
+// depend on shared budgets.
+func (d *dispatcher) rootProgram(id structs.ProgramID) structs.ProgramID {
 	for {
 		status, found := d.node.machine.StatusForAnyTenant(id)
 		if !found || status.Parent == "" {
@@ -98,15 +104,16 @@
 	}
 }
 
-// mutate decides, proposes and reports once the records are applied, or that
-// the machine refused. Where the outcome is not known it reports nothing.
-func (d *dispatcher) mutate(id structs.ProgramID, decide decider, done func(refused error)) {
-	if !d.node.serving() {
+// propose makes a decision and proposes its records. It calls done after the records
+// are applied, or with the error of the state machine. If the outcome of the
+// proposal is unknown, done is not called.
+func (d *dispatcher) propose(id structs.ProgramID, decide decisionFunc, done func(err error)) {
+	if !d.node.isServing() {
 		return
 	}
-	root := d.root(id)
-	if d.busy[root] {
-		d.tasks = append(d.tasks, func() { d.mutate(id, decide, done) })
+	root := d.rootProgram(id)
+	if d.busyRoots[root] {
+		d.deferredTasks = append(d.deferredTasks, func() { d.propose(id, decide, done) })
 		return
 	}
 	decision, err := decide(d.node.machine)
@@ -116,91 +123,92 @@
 	}
 	data, err := proto.Marshal(decision.Batch())
 	if err != nil {
-		d.node.cluster.checker.violate("marshal: %v", err)
+		d.node.cluster.checker.reportViolation("cannot encode a record batch: %v", err)
 		return
 	}
 	index, term, err := d.node.replica.Propose([][]byte{data})
 	if err != nil {
 		return
 	}
-	d.busy[root] = true
-	d.pending[index] = proposal{term: term, done: func(applied bool) {
-		delete(d.busy, root)
+	d.busyRoots[root] = true
+	d.pendingProposals[index] = pendingProposal{term: term, onDecided: func(applied bool) {
+		delete(d.busyRoots, root)
 		if applied {
 			done(nil)
 		}
 	}}
-	d.node.work()
+	d.node.processReady()
 }
 
-// request is mutate for a caller: a refusal is given only by a node that is
-// known to lead after the request came.
-func (d *dispatcher) request(id structs.ProgramID, decide decider, done func(refused error)) {
-	d.mutate(id, decide, func(err error) {
+// proposeForCaller is propose for a request of a caller. It rejects the request only
+// after a leadership confirmation that began after the request arrived.
+func (d *dispatcher) proposeForCaller(id structs.ProgramID, decide decisionFunc, done func(err error)) {
+	d.propose(id, decide, func(err error) {
 		if err == nil {
 			done(nil)
 			return
 		}
-		d.confirm(func() { d.mutate(id, decide, done) })
+		d.runAfterConfirmation(func() { d.propose(id, decide, done) })
 	})
 }
 
-// lead is one turn of a leader's own work.
-func (n *node) lead() {
-	if !n.serving() {
+// runLeaderTurn does one turn of the leader's work.
+func (n *node) runLeaderTurn() {
+	if !n.isServing() {
 		return
 	}
 	d := &n.dispatcher
-	tasks := d.tasks
-	d.tasks = nil
+	tasks := d.deferredTasks
+	d.deferredTasks = nil
 	for _, task := range tasks {
 		task()
 	}
-	for key := range d.waiting {
-		if d.waiting[key]--; d.waiting[key] <= 0 {
-			delete(d.waiting, key)
+	for key := range d.turnsLeft {
+		if d.turnsLeft[key]--; d.turnsLeft[key] <= 0 {
+			delete(d.turnsLeft, key)
 		}
 	}
 	for _, duty := range n.machine.DueTasks(n.now()) {
-		d.meet(duty)
+		d.performDuty(duty)
 	}
-	for _, id := range n.cluster.checker.programs() {
-		if call, runnable := n.machine.RunnableCall(id); runnable && !d.busy[d.root(id)] {
-			d.begin(call)
+	for _, id := range n.cluster.checker.programIDs() {
+		if call, runnable := n.machine.RunnableCall(id); runnable && !d.busyRoots[d.rootProgram(id)] {
+			d.startCall(call)
 		}
 	}
 }
 
-func (d *dispatcher) meet(duty program.LeaderTask) {
+func (d *dispatcher) performDuty(duty program.LeaderTask) {
 	now := d.node.now()
 	switch duty.Kind {
 	case program.TaskResumeCall:
-		if d.waiting[duty.Call.DispatchKey] == 0 {
-			d.resume(duty.Call)
+		if d.turnsLeft[duty.Call.DispatchKey] == 0 {
+			d.resumeCall(duty.Call)
 		}
 	case program.TaskReleaseHold:
-		d.release(duty.Hold)
+		d.releaseHold(duty.Hold)
 	case program.TaskEndProgram:
-		d.mutate(duty.Program, func(m *program.Machine) (program.Decision, error) {
+		d.propose(duty.Program, func(m *program.Machine) (program.Decision, error) {
 			return m.End(now, duty.Tenant, duty.Program, duty.Cause)
-		}, ignore)
+		}, ignoreError)
 	case program.TaskRemoveProgram:
-		d.mutate(duty.Program, func(m *program.Machine) (program.Decision, error) {
+		d.propose(duty.Program, func(m *program.Machine) (program.Decision, error) {
 			return m.Remove(now, duty.Program)
-		}, ignore)
+		}, ignoreError)
 	}
 }
 
-func ignore(error) {}
+func ignoreError(error) {}
 
-// release asks the engine to free a hold and records it once that is certain.
-func (d *dispatcher) release(held program.CacheHold) {
+// releaseHold asks the engine to release a hold and records the release after the
+// engine confirmed it.
+func (d *dispatcher) releaseHold(held program.CacheHold) {
 	n := d.node
 	target := n.cluster.engine(string(held.Engine))
 	record := func() {
-		d.mutate(held.Program, func(m *program.Machine) (program.Decision, error) {
+		d.propose(held.Program, func(m *program.Machine) (program.Decision, error) {
 			return m.RecordHoldReleased(n.now(), held.Program, held.Engine, held.Incarnation)
-		}, ignore)
+		}, ignoreError)
 	}
 	if n.cluster.options.InjectedBug == SkipHoldRelease {
 		record()
@@ -208,29 +216,29 @@
 	}
 	n.cluster.network.send(n.name(), target.name, true, func() {
 		if target.incarnation == held.Incarnation {
-			delete(target.holds, held.Program)
+			delete(target.heldPrograms, held.Program)
 		}
 		n.cluster.network.send(target.name, n.name(), true, record)
 	})
 }
 
-// sweepOrphans compares an engine's own list with the journal, and releases
-// what no program that may still run answers for.
-func (n *node) sweepOrphans() {
-	if !n.serving() || n.cluster.options.InjectedBug == SkipOrphanRelease {
+// releaseOrphans compares the programs held by an engine with the journal and
+// releases the holds of unknown and ended programs.
+func (n *node) releaseOrphans() {
+	if !n.isServing() || n.cluster.options.InjectedBug == SkipOrphanRelease {
 		return
 	}
 	d := &n.dispatcher
-	target := anyOf(n.cluster, n.cluster.engines)
+	target := randomElement(n.cluster, n.cluster.engines)
 	n.cluster.network.send(n.name(), target.name, true, func() {
-		holders := target.holders()
+		holders := target.heldProgramIDs()
 		incarnation := target.incarnation
 		n.cluster.network.send(target.name, n.name(), true, func() {
-			d.confirm(func() {
+			d.runAfterConfirmation(func() {
 				for _, holder := range holders {
 					if status, found := n.machine.StatusForAnyTenant(holder); !found || status.State == program.Ended {
 						orphan := program.CacheHold{Program: holder, Engine: structs.EngineID(target.name), Incarnation: incarnation}
-						d.release(orphan)
+						d.releaseHold(orphan)
 					}
 				}
 			})
@@ -238,11 +246,11 @@
 	})
 }
 
-// refuse ends a call that was not sent.
-func (d *dispatcher) refuse(call *program.Call, cause failure.Type) {
-	d.mutate(call.Program, func(m *program.Machine) (program.Decision, error) {
+// recordRejection records that a call fails without having been sent.
+func (d *dispatcher) recordRejection(call *program.Call, cause failure.Type) {
+	d.propose(call.Program, func(m *program.Machine) (program.Decision, error) {
 		return m.RecordNotRun(d.node.now(), program.NotRunRequest{
 			Program: call.Program, Number: call.Number, Final: true, FailureType: cause,
 		})
-	}, ignore)
+	}, ignoreError)
 }
--- a/internal/proof/dispatch.go
+++ b/internal/proof/dispatcher_calls.go
@@ -8,64 +8,64 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// answerTokens is the length of every answer; toolCost the price of a tool call.
+// Length of every answer in tokens, cost of a tool call, and duration of a call.
 const (
-	answerTokens = 8
-	toolCost     = 5
-	callTime     = 50
+	answerTokens     = 8
+	toolCostMicros   = 5
+	callMilliseconds = 50
 )
 
-// begin records the start of the call that may run, and sends it then.
-func (d *dispatcher) begin(call *program.Call) {
+// startCall commits the start of a runnable call and then sends it.
+func (d *dispatcher) startCall(call *program.Call) {
 	n := d.node
-	if n.cluster.chance(40) {
-		d.refuse(call, "engine_unavailable")
+	if n.cluster.oneIn(40) {
+		d.recordRejection(call, "engine_unavailable")
 		return
 	}
 	request := program.StartRequest{
 		Program: call.Program, Number: call.Number, TargetID: call.Target,
 		DispatchKey: fmt.Sprintf("%s.%d.%d", call.Program, call.Number, call.Attempt+1),
-		Reserve:     structs.Amount{CostMicros: toolCost, Milliseconds: callTime},
+		Reserve:     structs.Amount{CostMicros: toolCostMicros, Milliseconds: callMilliseconds},
 	}
 	if call.Kind == program.ModelCall {
-		target := anyOf(n.cluster, n.cluster.engines)
+		target := randomElement(n.cluster, n.cluster.engines)
 		request.TargetID, request.TargetIncarnation, request.MayCache = target.name, target.incarnation, true
-		request.Reserve = structs.Amount{Tokens: promptTokens(d.prompt(call)) + answerTokens, Milliseconds: callTime}
+		request.Reserve = structs.Amount{Tokens: promptTokens(d.prompt(call)) + answerTokens, Milliseconds: callMilliseconds}
 	}
 	decide := func(m *program.Machine) (program.Decision, error) { return m.Start(n.now(), request) }
 	send := func(err error) {
 		if failure.IsType(err, "budget_exceeded") {
-			d.refuse(call, "budget_exceeded")
+			d.recordRejection(call, "budget_exceeded")
 			return
 		}
-		d.sendStarted(request)
+		d.sendIfDispatched(request)
 	}
 	if n.cluster.options.InjectedBug == SendBeforeStartCommitted {
 		if _, err := decide(n.machine); err == nil {
 			early := *call
 			early.DispatchKey, early.TargetID, early.TargetIncarnation = request.DispatchKey, request.TargetID, request.TargetIncarnation
-			d.send(&early)
+			d.sendCall(&early)
 		}
-		send = ignore
+		send = ignoreError
 	}
-	d.mutate(call.Program, decide, send)
+	d.propose(call.Program, decide, send)
 }
 
-// sendStarted sends the attempt if it is the one under way.
-func (d *dispatcher) sendStarted(request program.StartRequest) {
+// sendIfDispatched sends the attempt if its start took effect.
+func (d *dispatcher) sendIfDispatched(request program.StartRequest) {
 	started, dispatched := d.node.machine.StartedCall(request.Program, request.Number, request.DispatchKey)
 	if dispatched {
-		d.send(started)
+		d.sendCall(started)
 	} else if d.node.cluster.options.InjectedBug == SkipDispatchCheck {
 		if call, found := d.node.machine.Call(request.Program, request.Number); found {
 			call.DispatchKey, call.TargetID, call.TargetIncarnation = request.DispatchKey, request.TargetID, request.TargetIncarnation
-			d.send(call)
+			d.sendCall(call)
 		}
 	}
 }
 
-func (d *dispatcher) send(call *program.Call) {
-	d.waiting[call.DispatchKey] = patience
+func (d *dispatcher) sendCall(call *program.Call) {
+	d.turnsLeft[call.DispatchKey] = answerTimeoutTurns
 	if call.Kind == program.ModelCall {
 		d.sendModel(call)
 	} else {
@@ -73,15 +73,15 @@
 	}
 }
 
-// prompt is the program's history and the call's own input.
+// prompt returns the history of the call's program and the input of the call.
 func (d *dispatcher) prompt(call *program.Call) []string {
 	id := call.Program
 	if d.node.cluster.options.InjectedBug == UseWrongHistory {
-		id = anyOf(d.node.cluster, d.node.cluster.checker.programs())
+		id = randomElement(d.node.cluster, d.node.cluster.checker.programIDs())
 	}
 	turns, err := d.node.machine.History(id)
 	if err != nil && d.node.cluster.options.InjectedBug != UseWrongHistory {
-		d.node.cluster.checker.violate("history of %s: %v", id, err)
+		d.node.cluster.checker.reportViolation("cannot read the history of program %s: %v", id, err)
 	}
 	var segments []string
 	for _, turn := range turns {
@@ -98,137 +98,137 @@
 	return total
 }
 
-// sendModel opens the call's stream at its engine.
+// sendModel opens a stream for the call at its engine.
 func (d *dispatcher) sendModel(call *program.Call) {
 	n, target := d.node, d.node.cluster.engine(call.TargetID)
 	segments := d.prompt(call)
 	n.cluster.network.send(n.name(), target.name, true, func() {
-		target.generate(call, segments, d.listener(call, target))
+		target.openStream(call, segments, d.streamListener(call, target))
 	})
 }
 
-// join takes up a stream that was opened before; where the engine does not
-// know it, the attempt is given up.
-func (d *dispatcher) join(call *program.Call) {
+// reattachStream attaches to a stream that was opened before. If the engine does not
+// know the stream, the attempt is given up.
+func (d *dispatcher) reattachStream(call *program.Call) {
 	n, target := d.node, d.node.cluster.engine(call.TargetID)
-	d.waiting[call.DispatchKey] = patience
+	d.turnsLeft[call.DispatchKey] = answerTimeoutTurns
 	n.cluster.network.send(n.name(), target.name, true, func() {
-		target.join(call, d.listener(call, target))
+		target.attach(call, d.streamListener(call, target))
 	})
 }
 
-func (d *dispatcher) listener(call *program.Call, target *engine) func(streamResult) {
+func (d *dispatcher) streamListener(call *program.Call, target *engine) func(streamResult) {
 	n := d.node
 	return func(r streamResult) {
-		n.cluster.network.send(target.name, n.name(), true, func() { d.settleModel(call, r) })
+		n.cluster.network.send(target.name, n.name(), true, func() { d.recordStreamResult(call, r) })
 	}
 }
 
-// settleModel records how an attempt at an engine ended.
-func (d *dispatcher) settleModel(call *program.Call, r streamResult) {
-	delete(d.waiting, call.DispatchKey)
-	if r.gone {
-		d.giveUp(call)
+// recordStreamResult records the result of an attempt at an engine.
+func (d *dispatcher) recordStreamResult(call *program.Call, r streamResult) {
+	delete(d.turnsLeft, call.DispatchKey)
+	if r.unknownStream {
+		d.recordGivenUp(call)
 		return
 	}
 	request := program.FinishRequest{
 		Program: call.Program, Number: call.Number, Attempt: call.Attempt,
-		Answer: []byte(r.text), Spent: structs.Amount{Tokens: r.tokens, Milliseconds: callTime},
+		Answer: []byte(r.text), Spent: structs.Amount{Tokens: r.tokens, Milliseconds: callMilliseconds},
 	}
 	if r.cancelled {
 		request.FailureType = "call_cancelled"
 		request.Spent = call.Reserved
 	}
-	d.finish(request)
+	d.recordFinish(request)
 }
 
-func (d *dispatcher) finish(request program.FinishRequest) {
-	d.mutate(request.Program, func(m *program.Machine) (program.Decision, error) {
+func (d *dispatcher) recordFinish(request program.FinishRequest) {
+	d.propose(request.Program, func(m *program.Machine) (program.Decision, error) {
 		return m.Finish(d.node.now(), request)
-	}, ignore)
+	}, ignoreError)
 }
 
-// giveUp takes back an attempt of a repeatable call that may have run; all of
-// its reservation counts as spent.
-func (d *dispatcher) giveUp(call *program.Call) {
-	d.mutate(call.Program, func(m *program.Machine) (program.Decision, error) {
+// recordGivenUp gives up an attempt of a repeatable call that may have been
+// executed. The complete reservation counts as spent.
+func (d *dispatcher) recordGivenUp(call *program.Call) {
+	d.propose(call.Program, func(m *program.Machine) (program.Decision, error) {
 		return m.RecordNotRun(d.node.now(), program.NotRunRequest{
 			Program: call.Program, Number: call.Number, Attempt: call.Attempt, GivenUp: true, Spent: call.Reserved,
 		})
-	}, ignore)
+	}, ignoreError)
 }
 
 func (d *dispatcher) sendTool(call *program.Call) {
 	n, tool := d.node, d.node.cluster.tool
 	n.cluster.network.send(n.name(), tool.name(), true, func() {
 		tool.call(call, func(r toolResult) {
-			n.cluster.network.send(tool.name(), n.name(), true, func() { d.settleTool(call, r) })
+			n.cluster.network.send(tool.name(), n.name(), true, func() { d.recordToolResult(call, r) })
 		})
 	})
 }
 
-func (d *dispatcher) settleTool(call *program.Call, r toolResult) {
-	delete(d.waiting, call.DispatchKey)
-	if !r.refused {
-		spent := structs.Amount{CostMicros: toolCost, Milliseconds: callTime}
-		d.finish(program.FinishRequest{
+func (d *dispatcher) recordToolResult(call *program.Call, r toolResult) {
+	delete(d.turnsLeft, call.DispatchKey)
+	if !r.rejected {
+		spent := structs.Amount{CostMicros: toolCostMicros, Milliseconds: callMilliseconds}
+		d.recordFinish(program.FinishRequest{
 			Program: call.Program, Number: call.Number, Attempt: call.Attempt, Answer: []byte(r.text), Spent: spent,
 		})
 		return
 	}
-	final := d.node.cluster.chance(2)
-	d.mutate(call.Program, func(m *program.Machine) (program.Decision, error) {
+	final := d.node.cluster.oneIn(2)
+	d.propose(call.Program, func(m *program.Machine) (program.Decision, error) {
 		return m.RecordNotRun(d.node.now(), program.NotRunRequest{
 			Program: call.Program, Number: call.Number, Attempt: call.Attempt, Final: final, FailureType: "tool_refused",
 		})
-	}, ignore)
+	}, ignoreError)
 }
 
-// resume takes up a started call whose answer this leader does not await.
-func (d *dispatcher) resume(call *program.Call) {
+// resumeCall resumes a started call whose answer this leader is not waiting for.
+func (d *dispatcher) resumeCall(call *program.Call) {
 	switch {
 	case call.Kind == program.ModelCall && call.AbandonRequested:
-		d.abandon(call)
+		d.cancelStream(call)
 	case call.Kind == program.ModelCall:
-		d.join(call)
+		d.reattachStream(call)
 	case d.node.cluster.options.InjectedBug == ResendNonRepeatable:
-		d.send(call)
+		d.sendCall(call)
 	case d.node.cluster.options.InjectedBug == ReportStartedAsNotRun:
-		d.settleTool(call, toolResult{refused: true})
+		d.recordToolResult(call, toolResult{rejected: true})
 	case call.Repeatable && d.node.cluster.options.InjectedBug == ResendTakenOver:
-		d.send(call)
+		d.sendCall(call)
 	case call.Repeatable:
-		d.giveUp(call)
+		d.recordGivenUp(call)
 	default:
-		d.learnOutcome(call)
+		d.queryToolOutcome(call)
 	}
 }
 
-// abandon stops a stream that nobody wants any more.
-func (d *dispatcher) abandon(call *program.Call) {
+// cancelStream cancels the stream of an abandoned call.
+func (d *dispatcher) cancelStream(call *program.Call) {
 	n, target := d.node, d.node.cluster.engine(call.TargetID)
-	d.waiting[call.DispatchKey] = patience
+	d.turnsLeft[call.DispatchKey] = answerTimeoutTurns
 	n.cluster.network.send(n.name(), target.name, true, func() {
-		r := target.cancel(call.DispatchKey)
-		n.cluster.network.send(target.name, n.name(), true, func() { d.settleModel(call, r) })
+		r := target.cancelStream(call.DispatchKey)
+		n.cluster.network.send(target.name, n.name(), true, func() { d.recordStreamResult(call, r) })
 	})
 }
 
-// learnOutcome asks the tool what became of a call; what it cannot tell is
-// recorded as unknown.
-func (d *dispatcher) learnOutcome(call *program.Call) {
+// queryToolOutcome asks the tool for the result of a call. If the tool has none, the
+// outcome is recorded as unknown.
+func (d *dispatcher) queryToolOutcome(call *program.Call) {
 	n, tool := d.node, d.node.cluster.tool
-	d.waiting[call.DispatchKey] = patience
+	d.turnsLeft[call.DispatchKey] = answerTimeoutTurns
 	n.cluster.network.send(n.name(), tool.name(), true, func() {
 		text, ran := tool.results[call.DispatchKey]
 		n.cluster.network.send(tool.name(), n.name(), true, func() {
 			if ran {
-				d.settleTool(call, toolResult{text: text})
+				d.recordToolResult(call, toolResult{text: text})
 				return
 			}
-			d.mutate(call.Program, func(m *program.Machine) (program.Decision, error) {
+			d.propose(call.Program, func(m *program.Machine) (program.Decision, error) {
 				return m.RecordOutcomeUnknown(n.now(), call.Program, call.Number, call.Attempt, "the tool cannot tell")
-			}, ignore)
+			}, ignoreError)
 		})
 	})
 }
--- a/internal/proof/network.go
+++ b/internal/proof/network.go
@@ -2,72 +2,75 @@
 
 import "slices"
 
-// network carries everything between nodes, callers and back ends.
+// network carries the messages between nodes, callers, engines and tools.
 type network struct {
-	cluster *cluster
-	flying  []flight
-	cut     map[[2]string]bool
+	cluster     *cluster
+	inFlight    []inFlightMessage
+	partitioned map[[2]string]bool
 }
 
-// flight is one message under way.
-type flight struct {
+// inFlightMessage is a message that is not delivered yet.
+type inFlightMessage struct {
 	from, to string
-	// once says that the message must not be doubled.
-	once bool
-	// notBefore is the first step at which it may arrive.
-	notBefore int
-	deliver   func()
+	// isBackend marks a message to or from an engine or tool. It is never
+	// duplicated.
+	isBackend bool
+	// earliestStep is the first step at which the message may be delivered.
+	earliestStep int
+	deliver      func()
 }
 
 const (
-	// nearlyInOrder is among how many of the oldest messages most are chosen.
-	nearlyInOrder = 6
-	// One message to or from a back end in slowOneIn is late by up to slowSteps.
-	slowOneIn = 10
-	slowSteps = 8_000
+	// reorderWindow is the number of oldest messages from which most deliveries
+	// are chosen.
+	reorderWindow = 6
+	// One in delayedOneIn messages to or from an engine or tool is delayed by
+	// up to maxDelaySteps.
+	delayedOneIn  = 10
+	maxDelaySteps = 8_000
 )
 
-func (w *network) send(from, to string, once bool, deliver func()) {
-	f := flight{from: from, to: to, once: once, deliver: deliver}
-	if once && !w.cluster.calm && w.cluster.chance(slowOneIn) {
-		f.notBefore = w.cluster.report.Steps + w.cluster.random.IntN(slowSteps)
+func (w *network) send(from, to string, isBackend bool, deliver func()) {
+	message := inFlightMessage{from: from, to: to, isBackend: isBackend, deliver: deliver}
+	if isBackend && !w.cluster.faultFree && w.cluster.oneIn(delayedOneIn) {
+		message.earliestStep = w.cluster.report.Steps + w.cluster.random.IntN(maxDelaySteps)
 	}
-	w.flying = append(w.flying, f)
+	w.inFlight = append(w.inFlight, message)
 }
 
-func (w *network) block(one, other string) {
-	if w.cut == nil {
-		w.cut = map[[2]string]bool{}
+func (w *network) partition(a, b string) {
+	if w.partitioned == nil {
+		w.partitioned = map[[2]string]bool{}
 	}
-	w.cut[[2]string{one, other}] = true
-	w.cut[[2]string{other, one}] = true
+	w.partitioned[[2]string{a, b}] = true
+	w.partitioned[[2]string{b, a}] = true
 }
 
-func (w *network) isCut(from, to string) bool { return w.cut[[2]string{from, to}] }
+func (w *network) isPartitioned(from, to string) bool { return w.partitioned[[2]string{from, to}] }
 
-// deliver delivers a message: mostly one of the oldest, at times a recent one.
-// One that is late or goes to a paused node waits, one across a cut is lost.
+// deliver delivers one message: mostly one of the oldest, sometimes any. A delayed
+// message or one to a paused node stays in flight. One across a partition is lost.
 func (w *network) deliver() {
-	if len(w.flying) == 0 {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	among := len(w.flying)
-	if w.cluster.calm || !w.cluster.chance(8) {
-		among = min(among, nearlyInOrder)
+	candidates := len(w.inFlight)
+	if w.cluster.faultFree || !w.cluster.oneIn(8) {
+		candidates = min(candidates, reorderWindow)
 	}
-	at := w.cluster.random.IntN(among)
-	f := w.flying[at]
-	if n := w.nodeOf(f.to); f.notBefore > w.cluster.report.Steps || (n != nil && n.paused) {
-		w.flying = append(slices.Delete(w.flying, at, at+1), f)
+	index := w.cluster.random.IntN(candidates)
+	message := w.inFlight[index]
+	if n := w.findNode(message.to); message.earliestStep > w.cluster.report.Steps || (n != nil && n.paused) {
+		w.inFlight = append(slices.Delete(w.inFlight, index, index+1), message)
 		return
 	}
-	w.flying = slices.Delete(w.flying, at, at+1)
-	if !w.isCut(f.from, f.to) {
-		f.deliver()
+	w.inFlight = slices.Delete(w.inFlight, index, index+1)
+	if !w.isPartitioned(message.from, message.to) {
+		message.deliver()
 	}
 }
 
-func (w *network) nodeOf(name string) *node {
+func (w *network) findNode(name string) *node {
 	for _, n := range w.cluster.nodes {
 		if n.name() == name {
 			return n
@@ -76,23 +79,23 @@
 	return nil
 }
 
-// lose drops a message that is due. Late ones are left alone: they lie about
-// for so long that hardly any would arrive.
-func (w *network) lose() {
-	if len(w.flying) == 0 {
+// dropMessage drops a random message unless it is delayed. Delayed messages stay in
+// flight so long that otherwise hardly any would be delivered.
+func (w *network) dropMessage() {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	at := w.cluster.random.IntN(len(w.flying))
-	if w.flying[at].notBefore <= w.cluster.report.Steps {
-		w.flying = slices.Delete(w.flying, at, at+1)
+	index := w.cluster.random.IntN(len(w.inFlight))
+	if w.inFlight[index].earliestStep <= w.cluster.report.Steps {
+		w.inFlight = slices.Delete(w.inFlight, index, index+1)
 	}
 }
 
-func (w *network) double() {
-	if len(w.flying) == 0 {
+func (w *network) duplicateMessage() {
+	if len(w.inFlight) == 0 {
 		return
 	}
-	if f := anyOf(w.cluster, w.flying); !f.once {
-		w.flying = append(w.flying, f)
+	if message := randomElement(w.cluster, w.inFlight); !message.isBackend {
+		w.inFlight = append(w.inFlight, message)
 	}
 }
--- a/internal/proof/node.go
+++ b/internal/proof/node.go
@@ -12,21 +12,21 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// node is one daemon: its replica, its store and its dispatcher.
+// node is a simulated daemon with its replica, its storage and its dispatcher.
 type node struct {
-	cluster *cluster
-	id      journal.MemberID
-	zone    structs.ZoneName
-	paused  bool
-	skew    time.Duration
+	cluster   *cluster
+	id        journal.MemberID
+	zone      structs.ZoneName
+	paused    bool
+	clockSkew time.Duration
 
 	replica *journal.Replica
 	machine *program.Machine
-	// stored survives a crash, with the machine's image at its index.
-	stored    journal.InitialState
-	image     []byte
-	unwritten []journal.Ready
-	tombstone *journalv1.State
+	// stored survives a crash. storedSnapshot is the state of machine at its index.
+	stored         journal.InitialState
+	storedSnapshot []byte
+	unstoredWrites []journal.Ready
+	tombstone      *journalv1.State
 
 	dispatcher dispatcher
 }
@@ -39,12 +39,12 @@
 
 func (n *node) name() string { return string(n.id.Node) }
 
-func (n *node) now() time.Time { return n.cluster.now.Add(n.skew) }
+func (n *node) now() time.Time { return n.cluster.now.Add(n.clockSkew) }
 
-// create makes the node a first member of the group.
-func (n *node) create(first []structs.Node) {
-	n.stored = journal.BootstrapState(members(first))
-	n.begin()
+// createReplica creates a replica as an initial member of the group.
+func (n *node) createReplica(initialMembers []structs.Node) {
+	n.stored = journal.BootstrapState(members(initialMembers))
+	n.startReplica()
 }
 
 func members(nodes []structs.Node) []journal.Member {
@@ -55,10 +55,10 @@
 	return chosen
 }
 
-// begin starts the replica from what is stored.
-func (n *node) begin() {
+// startReplica starts the replica from the stored state.
+func (n *node) startReplica() {
 	if n.zone == "outside" {
-		n.cluster.checker.violate("%s holds history outside the domain", n.name())
+		n.cluster.checker.reportViolation("%s holds history outside the domain", n.name())
 	}
 	self := n.id
 	self.Admission = n.stored.State.GetAdmission()
@@ -67,52 +67,53 @@
 	config.QuorumTicks, config.CampaignTicks = 20, 20
 	n.replica = journal.New(config, n.stored)
 	n.machine = program.NewMachine(shard)
-	if n.image != nil {
-		n.restore(n.image)
+	if n.storedSnapshot != nil {
+		n.restoreMachine(n.storedSnapshot)
 	}
-	n.unwritten = nil
+	n.unstoredWrites = nil
 	n.dispatcher.reset(n)
-	n.work()
+	n.processReady()
 }
 
-func (n *node) restore(data []byte) {
+func (n *node) restoreMachine(data []byte) {
 	if err := n.machine.Restore(data); err != nil {
-		n.cluster.checker.violate("%s: %v", n.name(), err)
+		n.cluster.checker.reportViolation("%s cannot restore a snapshot: %v", n.name(), err)
 	}
 }
 
-// work does what the replica wants; storing waits for flush.
-func (n *node) work() {
+// processReady processes the replica's output. Its writes wait for
+// storeOldestWrite.
+func (n *node) processReady() {
 	for n.replica != nil && n.replica.HasReady() {
 		ready := n.replica.Ready()
-		n.transmit(ready.ImmediateMessages)
-		n.unwritten = append(n.unwritten, ready)
+		n.sendEnvelopes(ready.ImmediateMessages)
+		n.unstoredWrites = append(n.unstoredWrites, ready)
 		if ready.Snapshot != nil {
-			n.restore(ready.Snapshot.Data)
+			n.restoreMachine(ready.Snapshot.Data)
 		}
 		for _, entry := range ready.CommittedEntries {
-			n.apply(entry)
+			n.applyEntry(entry)
 		}
-		n.dispatcher.confirmed(ready.ConfirmedRound)
+		n.dispatcher.completeConfirmations(ready.ConfirmedRound)
 		if ready.SnapshotNeeded {
 			n.offerSnapshot()
 		}
 		if ready.Removed {
-			n.leave()
+			n.removeReplica()
 		}
 	}
-	n.dispatcher.observe()
+	n.dispatcher.resetInNewTerm()
 }
 
-func (n *node) apply(entry *journalv1.Entry) {
+func (n *node) applyEntry(entry *journalv1.Entry) {
 	if entry.Type == journalv1.EntryType_ENTRY_TYPE_DATA {
 		n.machine.Apply(entry.Index, entry.Data)
 	}
-	n.cluster.checker.committed(n, entry)
-	n.dispatcher.applied(entry)
+	n.cluster.checker.observeEntry(n, entry)
+	n.dispatcher.completeProposal(entry)
 }
 
-func (n *node) transmit(envelopes []journal.Envelope) {
+func (n *node) sendEnvelopes(envelopes []journal.Envelope) {
 	for _, envelope := range envelopes {
 		from := n.id
 		from.Admission = envelope.Message.FromAdmission
@@ -125,19 +126,20 @@
 	if to.WithoutAdmission() != n.id {
 		return
 	}
-	if n.admits(to, message) {
-		n.tombstone, n.image = nil, nil
+	if n.createsReplica(to, message) {
+		n.tombstone, n.storedSnapshot = nil, nil
 		n.stored = journal.InitialState{State: &journalv1.State{Admission: to.Admission}}
-		n.begin()
+		n.startReplica()
 	}
 	if n.replica != nil {
 		n.replica.Step(from, to, message)
-		n.work()
+		n.processReady()
 	}
 }
 
-// admits reports whether a message is for an identity that is new to the node.
-func (n *node) admits(to journal.MemberID, message *journalv1.Message) bool {
+// createsReplica reports whether a message admits the node under an identity that it
+// has not had yet.
+func (n *node) createsReplica(to journal.MemberID, message *journalv1.Message) bool {
 	if !journal.MayCreateReplica(message.Type) {
 		return false
 	}
@@ -150,40 +152,41 @@
 func (n *node) offerSnapshot() {
 	data, err := n.machine.Snapshot()
 	if err != nil {
-		n.cluster.checker.violate("%s: %v", n.name(), err)
+		n.cluster.checker.reportViolation("%s cannot create a snapshot: %v", n.name(), err)
 	}
 	index, term, membership := n.replica.AppliedPosition()
 	n.replica.OfferSnapshot(journal.Snapshot{Index: index, Term: term, Membership: membership, Data: data})
 }
 
-// leave drops a replica that was removed from the group.
-func (n *node) leave() {
+// removeReplica removes a replica that the group no longer contains.
+func (n *node) removeReplica() {
 	n.tombstone = n.replica.Tombstone()
-	n.replica, n.image, n.unwritten = nil, nil, nil
+	n.replica, n.storedSnapshot, n.unstoredWrites = nil, nil, nil
 	n.stored = journal.InitialState{State: n.tombstone}
 	n.dispatcher.reset(n)
 }
 
-// flush stores the oldest write and sends what waited for it.
-func (n *node) flush() {
-	if len(n.unwritten) == 0 || n.paused {
+// storeOldestWrite stores the oldest pending write and sends the messages that depend
+// on it.
+func (n *node) storeOldestWrite() {
+	if len(n.unstoredWrites) == 0 || n.paused {
 		return
 	}
-	write := n.unwritten[0]
-	n.unwritten = n.unwritten[1:]
-	n.write(write)
-	n.transmit(write.MessagesAfterStore)
+	write := n.unstoredWrites[0]
+	n.unstoredWrites = n.unstoredWrites[1:]
+	n.storeWrite(write)
+	n.sendEnvelopes(write.MessagesAfterStore)
 	if count := len(write.Entries); count > 0 && n.replica != nil {
 		last := write.Entries[count-1]
 		n.replica.Persisted(last.Index, last.Term)
 	}
-	n.work()
+	n.processReady()
 }
 
-func (n *node) write(write journal.Ready) {
+func (n *node) storeWrite(write journal.Ready) {
 	if snapshot := write.Snapshot; snapshot != nil {
 		n.stored.Index, n.stored.Term, n.stored.Membership = snapshot.Index, snapshot.Term, snapshot.Membership
-		n.stored.Entries, n.image = nil, snapshot.Data
+		n.stored.Entries, n.storedSnapshot = nil, snapshot.Data
 	}
 	if write.State != nil {
 		n.stored.State = write.State
@@ -195,21 +198,21 @@
 	}
 }
 
-// crash loses what was not stored.
-func (n *node) crash() {
+// restartAfterCrash restarts the replica without its pending writes.
+func (n *node) restartAfterCrash() {
 	if n.replica != nil && !n.paused {
-		n.begin()
+		n.startReplica()
 	}
 }
 
-// forget loses everything; the node returns as another incarnation.
-func (n *node) forget() {
+// loseState deletes all state. The node returns as a new incarnation.
+func (n *node) loseState() {
 	membership := n.stored.Membership
-	n.stored, n.image, n.tombstone, n.unwritten = journal.InitialState{}, nil, nil, nil
+	n.stored, n.storedSnapshot, n.tombstone, n.unstoredWrites = journal.InitialState{}, nil, nil, nil
 	n.dispatcher.reset(n)
 	if n.cluster.options.InjectedBug == ReuseIncarnation && n.replica != nil && membership.GetIndex() == 0 {
 		n.stored.Membership = membership
-		n.begin()
+		n.startReplica()
 		return
 	}
 	n.replica = nil
@@ -222,21 +225,21 @@
 		return
 	}
 	n.replica.Tick()
-	if n.cluster.chance(4) {
+	if n.cluster.oneIn(4) {
 		n.replica.EnsureLeader()
 	}
-	n.work()
+	n.processReady()
 }
 
-func (n *node) compact() {
+func (n *node) compactLog() {
 	if n.replica != nil && !n.paused {
 		n.replica.Compact(0)
 	}
 }
 
-// reconcile moves the group toward the members that placement wants.
-func (n *node) reconcile() {
-	if !n.serving() {
+// reconcileMembers sets the desired members according to placement.
+func (n *node) reconcileMembers() {
+	if !n.isServing() {
 		return
 	}
 	var current []structs.NodeID
@@ -246,21 +249,21 @@
 		}
 	}
 	view := n.cluster.view()
-	wanted := placement.DesiredMembers(n.cluster.domain, shard, current, view, replicas)
-	if sameNodes(wanted, current) {
-		wanted = placement.ImproveZoneSpread(n.cluster.domain, shard, current, view)
+	desired := placement.DesiredMembers(n.cluster.domain, shard, current, view, replicaCount)
+	if sameNodes(desired, current) {
+		desired = placement.ImproveZoneSpread(n.cluster.domain, shard, current, view)
 	}
-	n.replica.SetDesiredVoters(members(wanted))
-	n.work()
+	n.replica.SetDesiredVoters(members(desired))
+	n.processReady()
 }
 
-func sameNodes(wanted []structs.Node, current []structs.NodeID) bool {
-	for _, member := range wanted {
+func sameNodes(desired []structs.Node, current []structs.NodeID) bool {
+	for _, member := range desired {
 		if !slices.Contains(current, member.ID) {
 			return false
 		}
 	}
-	return len(wanted) == len(current)
+	return len(desired) == len(current)
 }
 
-func (n *node) serving() bool { return n.replica != nil && !n.paused && n.replica.Serving() }
+func (n *node) isServing() bool { return n.replica != nil && !n.paused && n.replica.Serving() }
--- a/internal/replication/bench_test.go
+++ b/internal/replication/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// historyMachine keeps the records as a program's history.
+// historyMachine stores the records as the history of a program.
 type historyMachine struct {
 	mutex   sync.Mutex
 	history [][]byte
@@ -42,8 +42,9 @@
 	return nil
 }
 
-// benchGroup starts three daemons over a wire and makes the first one lead.
-func benchGroup(b *testing.B, delay time.Duration, disk bool) (*network, []*daemon) {
+// startBenchmarkGroup starts three daemons with the network delay and makes the
+// first one the leader. With disk, the leader stores its state in a data folder.
+func startBenchmarkGroup(b *testing.B, delay time.Duration, disk bool) (*network, []*daemon) {
 	b.Helper()
 	n := newNetwork(delay)
 	var group []*daemon
@@ -65,8 +66,8 @@
 	return n, group
 }
 
-// text returns bytes that compress about as far as prose does.
-func text(random *rand.Rand, size int) []byte {
+// compressibleText returns bytes with about the compression ratio of prose.
+func compressibleText(random *rand.Rand, size int) []byte {
 	var data []byte
 	for len(data) < size {
 		data = fmt.Appendf(data, "%s ", vocabulary[random.IntN(len(vocabulary))])
@@ -89,28 +90,28 @@
 
 const (
 	bytesPerToken = 4
-	// turnBytes is the record of one turn: about 400 tokens.
-	turnBytes    = 400 * bytesPerToken
-	historyChunk = 64 << 10
+	// turnBytes is the size of the record of one turn of about 400 tokens.
+	turnBytes         = 400 * bytesPerToken
+	historyChunkBytes = 64 << 10
 )
 
-// BenchmarkCommit commits records of one turn to a shard whose programs hold
-// ever longer histories, one record after another.
+// BenchmarkCommit commits records of one turn sequentially to a shard whose
+// state holds a history of the given number of tokens.
 func BenchmarkCommit(b *testing.B) {
 	for _, disk := range []bool{false, true} {
 		for _, tokens := range []int{1_000, 30_000, 200_000, 840_000} {
-			b.Run(fmt.Sprintf("disk=%v/history=%d", disk, tokens), func(b *testing.B) { benchCommit(b, disk, tokens) })
+			b.Run(fmt.Sprintf("disk=%v/history=%d", disk, tokens), func(b *testing.B) { benchmarkCommit(b, disk, tokens) })
 		}
 	}
 }
 
-func benchCommit(b *testing.B, disk bool, tokens int) {
-	n, group := benchGroup(b, 0, disk)
+func benchmarkCommit(b *testing.B, disk bool, tokens int) {
+	n, group := startBenchmarkGroup(b, 0, disk)
 	random := rand.New(rand.NewPCG(3, 4))
-	for left := tokens * bytesPerToken; left > 0; left -= historyChunk {
-		require.NoError(b, group[0].Propose(context.Background(), testShard, text(random, min(left, historyChunk))))
+	for remaining := tokens * bytesPerToken; remaining > 0; remaining -= historyChunkBytes {
+		require.NoError(b, group[0].Propose(context.Background(), testShard, compressibleText(random, min(remaining, historyChunkBytes))))
 	}
-	record := text(random, turnBytes)
+	record := compressibleText(random, turnBytes)
 	n.mutex.Lock()
 	before := n.bytes
 	n.mutex.Unlock()
@@ -126,12 +127,12 @@
 	n.mutex.Unlock()
 }
 
-// BenchmarkGroupCommit commits from many callers at once.
+// BenchmarkGroupCommit commits records of many concurrent callers.
 func BenchmarkGroupCommit(b *testing.B) {
 	for _, disk := range []bool{false, true} {
 		b.Run(fmt.Sprintf("disk=%v", disk), func(b *testing.B) {
-			n, group := benchGroup(b, 0, disk)
-			record := text(rand.New(rand.NewPCG(3, 4)), turnBytes)
+			n, group := startBenchmarkGroup(b, 0, disk)
+			record := compressibleText(rand.New(rand.NewPCG(3, 4)), turnBytes)
 			b.SetParallelism(32)
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
@@ -150,15 +151,15 @@
 	}
 }
 
-// BenchmarkFailover measures from the suspicion of a leader that died to
-// another one that serves and has committed a record, one shard an iteration.
+// BenchmarkFailover measures the time from the suspicion of a stopped leader until
+// another one has committed a record. Each iteration uses a new group.
 func BenchmarkFailover(b *testing.B) {
 	for _, delay := range []time.Duration{500 * time.Microsecond, 1500 * time.Microsecond} {
 		b.Run(fmt.Sprintf("delay=%s", delay), func(b *testing.B) {
 			var times []time.Duration
 			for range b.N {
 				b.StopTimer()
-				times = append(times, failOver(b, delay))
+				times = append(times, measureFailover(b, delay))
 			}
 			slices.Sort(times)
 			b.ReportMetric(float64(times[len(times)/2].Microseconds())/1000, "ms-median")
@@ -167,35 +168,35 @@
 	}
 }
 
-func failOver(b *testing.B, delay time.Duration) time.Duration {
-	n, group := benchGroup(b, delay, false)
+func measureFailover(b *testing.B, delay time.Duration) time.Duration {
+	n, group := startBenchmarkGroup(b, delay, false)
 	require.NoError(b, group[0].Propose(context.Background(), testShard, []byte("before")))
-	n.isolate(group[0], true)
+	n.setIsolated(group[0], true)
 	_ = group[0].Close()
-	began := time.Now()
-	// Both survivors learn of it and look for a leader at the same moment, the
-	// worst case: they may split the votes.
-	var found sync.WaitGroup
+	startTime := time.Now()
+	// Both other members suspect the leader and call EnsureLeader at the same
+	// moment. This is the worst case, because it can split the votes.
+	var elections sync.WaitGroup
 	for _, d := range group[1:] {
 		d.SuspectNode("a")
-		found.Go(func() { _, _ = d.EnsureLeader(context.Background(), testShard) })
+		elections.Go(func() { _, _ = d.EnsureLeader(context.Background(), testShard) })
 	}
-	found.Wait()
+	elections.Wait()
 	for _, d := range group[1:] {
 		if d.Propose(context.Background(), testShard, []byte("after")) == nil {
-			return time.Since(began)
+			return time.Since(startTime)
 		}
 	}
-	b.Fatal("no leader")
+	b.Fatal("no remaining member committed a record after the failover")
 	return 0
 }
 
-// BenchmarkIdleShards holds many shards of three members in one process and
-// measures their memory, and that nothing is sent.
+// BenchmarkIdleShards measures the memory of many idle shards of three members in
+// one process and the number of batches that they send.
 func BenchmarkIdleShards(b *testing.B) {
 	const shards = 2000
 	for range b.N {
-		n, group := benchGroup(b, 0, false)
+		n, group := startBenchmarkGroup(b, 0, false)
 		runtime.GC()
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
@@ -219,25 +220,25 @@
 	}
 }
 
-// BenchmarkReplaceMember measures from the wish for a new member to the group
-// in which it votes instead of another, with a state of 840,000 tokens.
+// BenchmarkReplaceMember measures the time from a change of the desired members until
+// the new member is a voter in place of another, with a state of 840,000 tokens.
 func BenchmarkReplaceMember(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
-		n, group := benchGroup(b, time.Millisecond, false)
+		n, group := startBenchmarkGroup(b, time.Millisecond, false)
 		random := rand.New(rand.NewPCG(3, 4))
-		for left := 840_000 * bytesPerToken; left > 0; left -= historyChunk {
-			require.NoError(b, group[0].Propose(context.Background(), testShard, text(random, min(left, historyChunk))))
+		for remaining := 840_000 * bytesPerToken; remaining > 0; remaining -= historyChunkBytes {
+			require.NoError(b, group[0].Propose(context.Background(), testShard, compressibleText(random, min(remaining, historyChunkBytes))))
 		}
-		fresh := n.start(b, "d", 1, func(o *Options) {
+		added := n.start(b, "d", 1, func(o *Options) {
 			o.NewStateMachine = func(structs.ShardID) StateMachine { return &historyMachine{} }
 		})
-		b.Cleanup(func() { _ = fresh.Close() })
+		b.Cleanup(func() { _ = added.Close() })
 		n.mutex.Lock()
 		before := n.bytes
 		n.mutex.Unlock()
 		b.StartTimer()
-		group[0].ReconcileMembers(testShard, members(group[0], group[1], fresh))
+		group[0].ReconcileMembers(testShard, members(group[0], group[1], added))
 		for {
 			status, _ := group[0].Status(testShard)
 			if len(status.Members) == 3 && status.Members[2].Node == "d" {
--- a/internal/replication/bolt.go
+++ b/internal/replication/bolt.go
@@ -15,42 +15,44 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Names in the data folder and in the database.
+// Names and file modes in the data folder.
 const (
-	boltFile        = "journal.db"
-	boltFileMode    = 0o600
-	boltFolderMode  = 0o700
-	boltLockTimeout = 2 * time.Second
-	// snapshotPartBytes is the size of one value of a stored snapshot.
-	snapshotPartBytes = 1 << 20
+	databaseFile        = "journal.db"
+	databaseFileMode    = 0o600
+	dataFolderMode      = 0o700
+	databaseLockTimeout = 2 * time.Second
+	// snapshotChunkBytes is the maximum size of one value of a stored snapshot.
+	snapshotChunkBytes = 1 << 20
 )
 
 var (
-	bucketIdentity = []byte("identity")
-	bucketShards   = []byte("shards")
-	bucketEntries  = []byte("entries")
-	bucketParts    = []byte("parts")
-	keyIncarnation = []byte("incarnation")
-	keyState       = []byte("state")
-	keySnapshot    = []byte("snapshot")
-	keyLast        = []byte("last")
+	bucketIdentity       = []byte("identity")
+	bucketShards         = []byte("shards")
+	bucketEntries        = []byte("entries")
+	bucketSnapshotChunks = []byte("parts")
+	keyIncarnation       = []byte("incarnation")
+	keyState             = []byte("state")
+	keySnapshot          = []byte("snapshot")
+	keyLastIndex         = []byte("last")
 )
 
-// BoltStorage is a Storage in one bbolt database. Every value carries a checksum over
-// its key and content; a write of many shards is one transaction.
+// BoltStorage is a Storage in one bbolt database. Every value carries a
+// checksum over its key and content. All writes passed to one call of Write
+// are one transaction.
 type BoltStorage struct {
 	database *bbolt.DB
 }
 
-// OpenBoltStorage opens the store in folder for one incarnation of the daemon. What
-// the store holds of another incarnation is dropped: its promises are not this
-// one's. The error is a *failure.DiskFailed.
+// OpenBoltStorage opens the database in folder for one incarnation of the
+// daemon. It deletes the shards of any other incarnation, because this
+// incarnation is not bound by their votes and acknowledgements. The error is a
+// *failure.DiskFailed.
 func OpenBoltStorage(folder string, incarnation structs.Incarnation) (*BoltStorage, error) {
 	database, err := openDatabase(folder)
 	if err != nil {
 		return nil, &failure.DiskFailed{Cause: err}
 	}
-	err = database.Update(func(tx *bbolt.Tx) error { return claim(tx, incarnation) })
+	err = database.Update(func(tx *bbolt.Tx) error { return initializeIncarnation(tx, incarnation) })
 	if err != nil {
 		_ = database.Close()
 		return nil, &failure.DiskFailed{Cause: err}
@@ -58,28 +60,30 @@
 	return &BoltStorage{database: database}, nil
 }
 
-// openDatabase opens the file. bbolt reports some damage by a panic.
+// openDatabase opens the database file. bbolt reports some kinds of corruption
+// by a panic, which is returned as a *CorruptStateError.
 func openDatabase(folder string) (database *bbolt.DB, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			database, err = nil, &CorruptStateError{Reason: fmt.Sprint(reason)}
 		}
 	}()
-	if err := os.MkdirAll(folder, boltFolderMode); err != nil {
+	if err := os.MkdirAll(folder, dataFolderMode); err != nil {
 		return nil, err
 	}
-	options := &bbolt.Options{Timeout: boltLockTimeout, FreelistType: bbolt.FreelistMapType}
-	return bbolt.Open(filepath.Join(folder, boltFile), boltFileMode, options)
+	options := &bbolt.Options{Timeout: databaseLockTimeout, FreelistType: bbolt.FreelistMapType}
+	return bbolt.Open(filepath.Join(folder, databaseFile), databaseFileMode, options)
 }
 
-// claim makes the store that of one incarnation.
-func claim(tx *bbolt.Tx, incarnation structs.Incarnation) error {
+// initializeIncarnation stores the incarnation as the owner of the database. It
+// deletes all shards if another incarnation owned it.
+func initializeIncarnation(tx *bbolt.Tx, incarnation structs.Incarnation) error {
 	identity, err := tx.CreateBucketIfNotExists(bucketIdentity)
 	if err != nil {
 		return err
 	}
-	if held, err := open(keyIncarnation, identity.Get(keyIncarnation)); err == nil && held != nil {
-		if structs.Incarnation(binary.BigEndian.Uint64(held)) == incarnation {
+	if stored, err := verifyChecksum(keyIncarnation, identity.Get(keyIncarnation)); err == nil && stored != nil {
+		if structs.Incarnation(binary.BigEndian.Uint64(stored)) == incarnation {
 			_, err := tx.CreateBucketIfNotExists(bucketShards)
 			return err
 		}
@@ -90,13 +94,13 @@
 	if _, err := tx.CreateBucket(bucketShards); err != nil {
 		return err
 	}
-	return identity.Put(keyIncarnation, seal(keyIncarnation, number(uint64(incarnation))))
+	return identity.Put(keyIncarnation, addChecksum(keyIncarnation, encodeUint64(uint64(incarnation))))
 }
 
 // Close closes the database.
 func (b *BoltStorage) Close() error { return b.database.Close() }
 
-// ShardWrite stores all writes in one transaction. The error is a
+// Write stores all writes in one transaction. The error is a
 // *failure.DiskFailed.
 func (b *BoltStorage) Write(writes []ShardWrite) error {
 	err := b.database.Update(func(tx *bbolt.Tx) error {
@@ -145,22 +149,22 @@
 	if err != nil {
 		return err
 	}
-	if err := deleteFrom(entries, write.Entries[0].Index); err != nil {
+	if err := deleteEntriesFrom(entries, write.Entries[0].Index); err != nil {
 		return err
 	}
 	for _, entry := range write.Entries {
-		if err := putMessage(entries, number(entry.Index), entry); err != nil {
+		if err := putMessage(entries, encodeUint64(entry.Index), entry); err != nil {
 			return err
 		}
 	}
-	last := number(write.Entries[len(write.Entries)-1].Index)
-	return bucket.Put(keyLast, seal(keyLast, last))
+	last := encodeUint64(write.Entries[len(write.Entries)-1].Index)
+	return bucket.Put(keyLastIndex, addChecksum(keyLastIndex, last))
 }
 
-// deleteFrom drops the entries from index on.
-func deleteFrom(entries *bbolt.Bucket, index uint64) error {
+// deleteEntriesFrom deletes the entries from index on.
+func deleteEntriesFrom(entries *bbolt.Bucket, index uint64) error {
 	cursor := entries.Cursor()
-	for key, _ := cursor.Seek(number(index)); key != nil; key, _ = cursor.Next() {
+	for key, _ := cursor.Seek(encodeUint64(index)); key != nil; key, _ = cursor.Next() {
 		if err := cursor.Delete(); err != nil {
 			return err
 		}
@@ -168,8 +172,8 @@
 	return nil
 }
 
-// deleteUpTo drops the entries up to index.
-func deleteUpTo(entries *bbolt.Bucket, index uint64) error {
+// deleteEntriesUpTo deletes the entries up to and including index.
+func deleteEntriesUpTo(entries *bbolt.Bucket, index uint64) error {
 	cursor := entries.Cursor()
 	for key, _ := cursor.First(); key != nil && binary.BigEndian.Uint64(key) <= index; key, _ = cursor.Next() {
 		if err := cursor.Delete(); err != nil {
@@ -180,40 +184,41 @@
 }
 
 func writeSnapshot(bucket *bbolt.Bucket, write *ShardWrite) error {
-	if err := dropCovered(bucket, write); err != nil {
+	if err := deleteSnapshottedEntries(bucket, write); err != nil {
 		return err
 	}
-	if err := bucket.DeleteBucket(bucketParts); err != nil && err != bolterrors.ErrBucketNotFound {
+	if err := bucket.DeleteBucket(bucketSnapshotChunks); err != nil && err != bolterrors.ErrBucketNotFound {
 		return err
 	}
-	parts, err := bucket.CreateBucket(bucketParts)
+	chunks, err := bucket.CreateBucket(bucketSnapshotChunks)
 	if err != nil {
 		return err
 	}
 	data := write.Snapshot.Data
-	for offset := 0; offset < len(data); offset += snapshotPartBytes {
-		key := number(uint64(offset))
-		part := data[offset:min(offset+snapshotPartBytes, len(data))]
-		if err := parts.Put(key, seal(key, part)); err != nil {
+	for offset := 0; offset < len(data); offset += snapshotChunkBytes {
+		key := encodeUint64(uint64(offset))
+		chunk := data[offset:min(offset+snapshotChunkBytes, len(data))]
+		if err := chunks.Put(key, addChecksum(key, chunk)); err != nil {
 			return err
 		}
 	}
-	return putMessage(bucket, keySnapshot, describeSnapshot(write.Snapshot))
+	return putMessage(bucket, keySnapshot, snapshotMetadata(write.Snapshot))
 }
 
-// dropCovered drops the entries that the snapshot stands for.
-func dropCovered(bucket *bbolt.Bucket, write *ShardWrite) error {
+// deleteSnapshottedEntries deletes the entries that the snapshot covers, or all
+// entries unless KeepLaterEntries is set.
+func deleteSnapshottedEntries(bucket *bbolt.Bucket, write *ShardWrite) error {
 	if !write.KeepLaterEntries {
 		if err := bucket.DeleteBucket(bucketEntries); err != nil && err != bolterrors.ErrBucketNotFound {
 			return err
 		}
-		return bucket.Put(keyLast, seal(keyLast, number(write.Snapshot.Index)))
+		return bucket.Put(keyLastIndex, addChecksum(keyLastIndex, encodeUint64(write.Snapshot.Index)))
 	}
 	entries := bucket.Bucket(bucketEntries)
 	if entries == nil {
 		return nil
 	}
-	return deleteUpTo(entries, write.Snapshot.Index)
+	return deleteEntriesUpTo(entries, write.Snapshot.Index)
 }
 
 func putMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
@@ -221,13 +226,13 @@
 	if err != nil {
 		return err
 	}
-	return bucket.Put(key, seal(key, data))
+	return bucket.Put(key, addChecksum(key, data))
 }
 
 func shardKey(id structs.ShardID) []byte {
 	return binary.BigEndian.AppendUint32(nil, uint32(id))
 }
 
-func number(value uint64) []byte {
+func encodeUint64(value uint64) []byte {
 	return binary.BigEndian.AppendUint64(nil, value)
 }
--- a/internal/replication/boltload.go
+++ b/internal/replication/bolt_load.go
@@ -14,33 +14,36 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// CorruptStateError reports that a store does not hold all that its incarnation
-// promised. The daemon must come back as a new incarnation.
+// CorruptStateError reports that the storage no longer holds all the state that
+// its incarnation acknowledged. The daemon must restart as a new incarnation.
 type CorruptStateError struct {
-	// Reason says what is missing.
+	// Reason says what is missing or damaged.
 	Reason string
 }
 
-func (e *CorruptStateError) Error() string { return fmt.Sprintf("stored state lost: %s", e.Reason) }
+func (e *CorruptStateError) Error() string {
+	return fmt.Sprintf("stored state is incomplete or corrupt: %s", e.Reason)
+}
 
 const checksumBytes = 8
 
-// seal puts a checksum over key and data before data.
-func seal(key, data []byte) []byte {
-	sealed := make([]byte, checksumBytes, checksumBytes+len(data))
-	binary.BigEndian.PutUint64(sealed, checksum(key, data))
-	return append(sealed, data...)
+// addChecksum returns data preceded by a checksum over key and data.
+func addChecksum(key, data []byte) []byte {
+	value := make([]byte, checksumBytes, checksumBytes+len(data))
+	binary.BigEndian.PutUint64(value, checksum(key, data))
+	return append(value, data...)
 }
 
-// open returns a copy of the data of a sealed value; nil of an absent one.
-func open(key, sealed []byte) ([]byte, error) {
-	if sealed == nil {
+// verifyChecksum returns a copy of the data of a value that addChecksum made,
+// or nil if the value is absent. The error is a *CorruptStateError.
+func verifyChecksum(key, value []byte) ([]byte, error) {
+	if value == nil {
 		return nil, nil
 	}
-	if len(sealed) < checksumBytes || binary.BigEndian.Uint64(sealed) != checksum(key, sealed[checksumBytes:]) {
-		return nil, &CorruptStateError{Reason: fmt.Sprintf("checksum of %x", key)}
+	if len(value) < checksumBytes || binary.BigEndian.Uint64(value) != checksum(key, value[checksumBytes:]) {
+		return nil, &CorruptStateError{Reason: fmt.Sprintf("checksum mismatch for key %x", key)}
 	}
-	return append([]byte{}, sealed[checksumBytes:]...), nil
+	return append([]byte{}, value[checksumBytes:]...), nil
 }
 
 func checksum(key, data []byte) uint64 {
@@ -50,17 +53,17 @@
 	return digest.Sum64()
 }
 
-// Load returns all shards. An entry after the last acknowledged one that does
-// not match its checksum is cut off with all that follow it. The error is a
-// *failure.DiskFailed whose cause is a *CorruptStateError where acknowledged state is
-// damaged.
-func (b *BoltStorage) Load() (found map[structs.ShardID]StoredShard, err error) {
+// Load returns all shards. It truncates the log at the first entry with an
+// invalid checksum if no acknowledged entry is lost by that. The error is a
+// *failure.DiskFailed; its cause is a *CorruptStateError if acknowledged state
+// is damaged.
+func (b *BoltStorage) Load() (loaded map[structs.ShardID]StoredShard, err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
 			err = &failure.DiskFailed{Cause: &CorruptStateError{Reason: fmt.Sprint(reason)}}
 		}
 	}()
-	found = map[structs.ShardID]StoredShard{}
+	loaded = map[structs.ShardID]StoredShard{}
 	err = b.database.View(func(tx *bbolt.Tx) error {
 		shards := tx.Bucket(bucketShards)
 		return shards.ForEachBucket(func(key []byte) error {
@@ -68,14 +71,14 @@
 			if err != nil {
 				return err
 			}
-			found[structs.ShardID(binary.BigEndian.Uint32(key))] = stored
+			loaded[structs.ShardID(binary.BigEndian.Uint32(key))] = stored
 			return nil
 		})
 	})
 	if err != nil {
 		return nil, &failure.DiskFailed{Cause: err}
 	}
-	return found, nil
+	return loaded, nil
 }
 
 func loadShard(bucket *bbolt.Bucket) (StoredShard, error) {
@@ -91,7 +94,7 @@
 		return stored, err
 	}
 	stored.Snapshot = snapshot
-	last, err := open(keyLast, bucket.Get(keyLast))
+	last, err := verifyChecksum(keyLastIndex, bucket.Get(keyLastIndex))
 	if err != nil {
 		return stored, err
 	}
@@ -103,60 +106,62 @@
 	return stored, err
 }
 
-// loadEntries returns the entries after base, without gaps.
+// loadEntries returns the consecutive entries after base. The error is a
+// *CorruptStateError if one up to acknowledged is missing or damaged.
 func loadEntries(bucket *bbolt.Bucket, base, acknowledged uint64) ([]*journalv1.Entry, error) {
 	var entries []*journalv1.Entry
 	next := base + 1
 	for ; bucket != nil; next++ {
 		entry := &journalv1.Entry{}
-		key := number(next)
+		key := encodeUint64(next)
 		if bucket.Get(key) == nil {
 			break
 		}
 		if err := getMessage(bucket, key, entry); err != nil {
-			eventTailCut.Log("index", next, "acknowledged", acknowledged)
+			eventLogTailTruncated.Log("index", next, "acknowledged", acknowledged)
 			break
 		}
 		entries = append(entries, entry)
 	}
 	if next <= acknowledged {
-		return nil, &CorruptStateError{Reason: fmt.Sprintf("entry %d of %d", next, acknowledged)}
+		return nil, &CorruptStateError{Reason: fmt.Sprintf("entry %d is missing or damaged; entries up to %d were acknowledged", next, acknowledged)}
 	}
 	return entries, nil
 }
 
-func describeSnapshot(snapshot *journal.Snapshot) *journalv1.Message {
+func snapshotMetadata(snapshot *journal.Snapshot) *journalv1.Message {
 	return &journalv1.Message{
 		Index: snapshot.Index, LogTerm: snapshot.Term, Membership: snapshot.Membership, Size: uint64(len(snapshot.Data)),
 	}
 }
 
 func loadSnapshot(bucket *bbolt.Bucket) (journal.Snapshot, error) {
-	description := &journalv1.Message{}
-	if err := getMessage(bucket, keySnapshot, description); err != nil {
+	metadata := &journalv1.Message{}
+	if err := getMessage(bucket, keySnapshot, metadata); err != nil {
 		return journal.Snapshot{}, err
 	}
 	snapshot := journal.Snapshot{
-		Index: description.Index, Term: description.LogTerm, Membership: description.Membership,
+		Index: metadata.Index, Term: metadata.LogTerm, Membership: metadata.Membership,
 	}
-	parts := bucket.Bucket(bucketParts)
-	for uint64(len(snapshot.Data)) < description.Size {
-		key := number(uint64(len(snapshot.Data)))
-		part, err := open(key, parts.Get(key))
+	chunks := bucket.Bucket(bucketSnapshotChunks)
+	for uint64(len(snapshot.Data)) < metadata.Size {
+		key := encodeUint64(uint64(len(snapshot.Data)))
+		chunk, err := verifyChecksum(key, chunks.Get(key))
 		if err != nil {
 			return snapshot, err
 		}
-		if len(part) == 0 {
-			return snapshot, &CorruptStateError{Reason: "part of a snapshot"}
+		if len(chunk) == 0 {
+			return snapshot, &CorruptStateError{Reason: "a chunk of the snapshot is missing"}
 		}
-		snapshot.Data = append(snapshot.Data, part...)
+		snapshot.Data = append(snapshot.Data, chunk...)
 	}
 	return snapshot, nil
 }
 
-// getMessage decodes a sealed value; an absent one leaves message as it is.
+// getMessage decodes a stored message. It leaves message unchanged if no value
+// is stored.
 func getMessage(bucket *bbolt.Bucket, key []byte, message proto.Message) error {
-	data, err := open(key, bucket.Get(key))
+	data, err := verifyChecksum(key, bucket.Get(key))
 	if err != nil || data == nil {
 		return err
 	}
--- a/internal/replication/events.go
+++ b/internal/replication/events.go
@@ -3,17 +3,17 @@
 import "github.com/barleyshelf/barleyshelf/internal/event"
 
 var (
-	eventDiskFailed = event.Define(1101, event.Error, "data folder failed; this daemon leaves all its shards",
-		"Free or replace the disk, then restart the daemon; it comes back as a new incarnation where its state is not intact.")
-	eventTailCut = event.Define(1102, event.Warning, "journal entries without a valid checksum cut off",
-		"Check the disk. The daemon took a new incarnation if acknowledged entries were lost.")
-	eventStateLost = event.Define(1103, event.Warning, "data folder set aside; the daemon starts as a new incarnation",
-		"None at once; the shards' leaders admit the daemon again. Check the disk if this repeats.")
-	eventLeading     = event.Define(1104, event.Info, "leads the shard", "")
-	eventNotLeading  = event.Define(1105, event.Info, "no longer leads the shard", "")
-	eventRemoved     = event.Define(1106, event.Info, "replica removed; the group goes on without this daemon", "")
-	eventSnapshotBad = event.Define(1107, event.Error, "state machine refused a snapshot or record; replica dropped",
-		"Compare the versions of the group's daemons, then restart this one without its data folder.")
-	eventSnapshotFailed = event.Define(1108, event.Error, "state machine gave no snapshot",
-		"Members that lag cannot catch up; file a report with the shard's number.")
+	eventDiskFailed = event.Define(1101, event.Error, "data folder failed; this daemon stopped all its replicas",
+		"Free space on the disk or replace it, then restart the daemon. It starts as a new incarnation if its state is not intact.")
+	eventLogTailTruncated = event.Define(1102, event.Warning, "truncated the stored journal at an entry with an invalid checksum",
+		"Check the disk. The daemon starts as a new incarnation if acknowledged entries were lost.")
+	eventStateCorrupt = event.Define(1103, event.Warning, "stored state is corrupt; renamed the database and starting as a new incarnation",
+		"No immediate action; the shards' leaders add the daemon to their groups again. Check the disk if this repeats.")
+	eventBecameLeader         = event.Define(1104, event.Info, "became leader of the shard", "")
+	eventLostLeadership       = event.Define(1105, event.Info, "lost leadership of the shard", "")
+	eventReplicaRemoved       = event.Define(1106, event.Info, "replica removed; this daemon is no longer a member of the group", "")
+	eventStateMachineRejected = event.Define(1107, event.Error, "state machine rejected a snapshot or record; stopped the replica",
+		"Compare the versions of the daemons in the group, then restart this daemon without its data folder.")
+	eventSnapshotFailed = event.Define(1108, event.Error, "state machine failed to create a snapshot",
+		"Lagging members cannot catch up. File a report that names the shard.")
 )
--- a/internal/replication/faults_test.go
+++ b/internal/replication/faults_test.go
@@ -12,26 +12,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// chaos plays faults on five daemons of which three hold the shard, with
-// proposals at whoever leads, and remembers what was acknowledged.
-type chaos struct {
-	t            *testing.T
-	network      *network
-	random       *rand.Rand
-	daemons      map[string]*daemon
-	lives        map[string]uint64
-	disks        map[string]*durable
-	acknowledged []string
-	next         int
+// faultTest injects faults into five daemons, three of which are members of the
+// shard. It proposes records at the leader and remembers the acknowledged ones.
+type faultTest struct {
+	t                *testing.T
+	network          *network
+	random           *rand.Rand
+	daemons          map[string]*daemon
+	incarnations     map[string]uint64
+	storages         map[string]*memoryStorage
+	acknowledged     []string
+	lastRecordNumber int
 }
 
-func newChaos(t *testing.T, seed uint64) *chaos {
-	c := &chaos{
+func newFaultTest(t *testing.T, seed uint64) *faultTest {
+	c := &faultTest{
 		t: t, network: newNetwork(time.Millisecond), random: rand.New(rand.NewPCG(seed, 7)),
-		daemons: map[string]*daemon{}, lives: map[string]uint64{}, disks: map[string]*durable{"a": {}, "d": {}},
+		daemons: map[string]*daemon{}, incarnations: map[string]uint64{}, storages: map[string]*memoryStorage{"a": {}, "d": {}},
 	}
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
-		c.start(name)
+		c.startDaemon(name)
 	}
 	group := InitialGroup{Shard: testShard, Members: members(c.daemons["a"], c.daemons["b"], c.daemons["c"])}
 	for _, d := range c.daemons {
@@ -40,25 +40,25 @@
 	return c
 }
 
-// start begins a life without memory, unless the daemon has a disk.
-func (c *chaos) start(name string) {
-	disk, has := c.disks[name]
-	if !has || c.lives[name] == 0 {
-		c.lives[name]++
+// startDaemon starts a daemon. One without storage starts as a new incarnation.
+func (c *faultTest) startDaemon(name string) {
+	storage, stored := c.storages[name]
+	if !stored || c.incarnations[name] == 0 {
+		c.incarnations[name]++
 	}
-	c.daemons[name] = c.network.start(c.t, name, c.lives[name], func(o *Options) {
-		if has {
-			o.Storage = disk
+	c.daemons[name] = c.network.start(c.t, name, c.incarnations[name], func(o *Options) {
+		if stored {
+			o.Storage = storage
 		}
 	})
 }
 
-// propose asks every daemon in turn until one takes the record, as a caller's
-// retries would; a record of unknown fate is not sent again.
-func (c *chaos) propose() {
-	c.next++
-	record := fmt.Sprintf("r%d", c.next)
-	for _, name := range c.shuffled() {
+// propose tries the daemons in random order until one leads the shard and commits
+// the record, like a caller that retries.
+func (c *faultTest) propose() {
+	c.lastRecordNumber++
+	record := fmt.Sprintf("r%d", c.lastRecordNumber)
+	for _, name := range c.shuffledNames() {
 		d := c.daemons[name]
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		leader, err := d.EnsureLeader(ctx, testShard)
@@ -76,16 +76,15 @@
 	}
 }
 
-func (c *chaos) shuffled() []string {
+func (c *faultTest) shuffledNames() []string {
 	names := []string{"a", "b", "c", "d", "e"}
 	c.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	return names
 }
 
-// replace kills a daemon and starts it again, then lets the group take it, or
-// another, as its member.
-func (c *chaos) replace() {
-	name := c.shuffled()[0]
+// replaceDaemon kills and restarts a daemon, then changes the members of the group.
+func (c *faultTest) replaceDaemon() {
+	name := c.shuffledNames()[0]
 	c.network.kill(c.t, c.daemons[name])
 	for _, d := range c.daemons {
 		if string(d.self.Node) != name {
@@ -93,15 +92,15 @@
 		}
 	}
 	c.propose()
-	c.start(name)
-	c.settle()
+	c.startDaemon(name)
+	c.reconfigure()
 }
 
-// settle makes a group of three daemons, and waits until it is.
-func (c *chaos) settle() {
-	wanted := c.shuffled()[:3]
-	slices.Sort(wanted)
-	list := members(c.daemons[wanted[0]], c.daemons[wanted[1]], c.daemons[wanted[2]])
+// reconfigure changes the group to three random daemons and waits for the change.
+func (c *faultTest) reconfigure() {
+	names := c.shuffledNames()[:3]
+	slices.Sort(names)
+	list := members(c.daemons[names[0]], c.daemons[names[1]], c.daemons[names[2]])
 	for range 20 {
 		c.propose()
 		for _, d := range c.daemons {
@@ -109,17 +108,17 @@
 		}
 		time.Sleep(time.Second)
 	}
-	for _, name := range wanted {
-		status, held := c.daemons[name].Status(testShard)
-		require.True(c.t, held && !status.Removed, "%s is no member", name)
+	for _, name := range names {
+		status, found := c.daemons[name].Status(testShard)
+		require.True(c.t, found && !status.Removed, "%s is not a member", name)
 		require.Len(c.t, status.Members, 3)
 	}
 }
 
-// isolate cuts a daemon off for a while, in which the others go on.
-func (c *chaos) isolate() {
-	d := c.daemons[c.shuffled()[0]]
-	c.network.isolate(d, true)
+// isolate cuts a daemon off from the others, proposes records and reconnects it.
+func (c *faultTest) isolate() {
+	d := c.daemons[c.shuffledNames()[0]]
+	c.network.setIsolated(d, true)
 	for _, other := range c.daemons {
 		if other != d {
 			other.SuspectNode(d.self.Node)
@@ -128,12 +127,13 @@
 	for range 3 {
 		c.propose()
 	}
-	c.network.isolate(d, false)
-	time.Sleep(flagLifetime)
+	c.network.setIsolated(d, false)
+	time.Sleep(suspicionTTL)
 }
 
-// check compares all members with one another and with what was acknowledged.
-func (c *chaos) check() {
+// checkRecords checks that all members hold the same records, that none is applied
+// twice and that no acknowledged one is lost.
+func (c *faultTest) checkRecords() {
 	c.propose()
 	time.Sleep(5 * time.Second)
 	var reference []string
@@ -149,11 +149,11 @@
 	}
 	seen := map[string]bool{}
 	for _, record := range reference {
-		require.False(c.t, seen[record], "%s applied twice", record)
+		require.False(c.t, seen[record], "record %s was applied twice", record)
 		seen[record] = true
 	}
 	for _, record := range c.acknowledged {
-		require.True(c.t, seen[record], "%s acknowledged and lost", record)
+		require.True(c.t, seen[record], "record %s was acknowledged and then lost", record)
 	}
 }
 
@@ -162,7 +162,7 @@
 	acknowledged := 0
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			c := newChaos(t, seed)
+			c := newFaultTest(t, seed)
 			defer c.network.closeAll(t)
 			for range rounds {
 				for range 5 {
@@ -171,40 +171,40 @@
 				if c.random.IntN(2) == 0 {
 					c.isolate()
 				} else {
-					c.replace()
+					c.replaceDaemon()
 				}
-				c.check()
+				c.checkRecords()
 			}
 			acknowledged += len(c.acknowledged)
 		})
 	}
-	t.Logf("%d histories, %d faults, %d records acknowledged", seeds, seeds*rounds, acknowledged)
+	t.Logf("%d seeds, %d faults, %d records acknowledged", seeds, seeds*rounds, acknowledged)
 }
 
 func TestGroupRestartsFromStorage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(time.Millisecond)
 		defer n.closeAll(t)
-		names, disks := []string{"a", "b", "c"}, map[string]*durable{"a": {}, "b": {}, "c": {}}
-		begin := func() []*daemon {
+		names, storages := []string{"a", "b", "c"}, map[string]*memoryStorage{"a": {}, "b": {}, "c": {}}
+		startAll := func() []*daemon {
 			var group []*daemon
 			for _, name := range names {
-				group = append(group, n.start(t, name, 1, func(o *Options) { o.Storage = disks[name] }))
+				group = append(group, n.start(t, name, 1, func(o *Options) { o.Storage = storages[name] }))
 			}
 			return group
 		}
-		group := begin()
+		group := startAll()
 		for _, d := range group {
 			require.NoError(t, d.CreateReplica(InitialGroup{Shard: testShard, Members: members(group...)}))
 		}
-		for life := range 3 {
-			_, err := group[life].EnsureLeader(context.Background(), testShard)
+		for leader := range 3 {
+			_, err := group[leader].EnsureLeader(context.Background(), testShard)
 			require.NoError(t, err)
-			proposeMany(t, group[life], fmt.Sprint(life), 10)
+			proposeMany(t, group[leader], fmt.Sprint(leader), 10)
 			for _, d := range group {
 				n.kill(t, d)
 			}
-			group = begin()
+			group = startAll()
 		}
 		_, err := group[0].EnsureLeader(context.Background(), testShard)
 		require.NoError(t, err)
--- a/internal/replication/host.go
+++ b/internal/replication/host.go
@@ -15,19 +15,19 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// StateMachine is the state of one shard. The host calls one of its methods at
-// a time, from changing goroutines.
+// StateMachine is the state of one shard. The host calls its methods one at a
+// time, but from different goroutines.
 type StateMachine interface {
-	// Apply takes one committed record; index only rises.
+	// Apply applies one committed record. The index increases from call to call.
 	Apply(index uint64, data []byte)
-	// Snapshot returns the whole state.
+	// Snapshot returns the complete state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the whole state.
+	// Restore replaces the complete state.
 	Restore(data []byte) error
 }
 
-// Transport carries batches to peers. Send must not block; it may lose,
-// repeat, delay and reorder batches. Batches must not be changed.
+// Transport sends batches to peers. Send must not block and must not modify the
+// batch. It may lose, duplicate, delay and reorder batches.
 type Transport interface {
 	Send(to structs.NodeID, batch *journalv1.Batch)
 }
@@ -35,34 +35,37 @@
 // Member is one replica of a group.
 type Member = journal.Member
 
-// InitialGroup is the genesis of a shard. All members must be given the same one.
+// InitialGroup is the initial membership of a shard. All its members must be
+// created with the same one.
 type InitialGroup struct {
 	Shard   structs.ShardID
 	Members []Member
 }
 
-// Options configure a Host. Zero values of the bounds mean the defaults.
+// Options configure a Host. Zero values of TickInterval and RetainedLogBytes
+// mean the defaults.
 type Options struct {
-	// Self is this daemon in this life.
+	// Self is this daemon with its current incarnation.
 	Self structs.Node
-	// DataDir is the data folder; empty keeps everything in memory only.
+	// DataDir is the data folder. If it is empty, all state is kept only in memory.
 	DataDir   string
 	Transport Transport
-	// Nodes returns the present view of the cluster; nil means that only
-	// SuspectNode tells of failures.
+	// Nodes returns the current view of the cluster. If it is nil, only
+	// SuspectNode reports failures.
 	Nodes           func() []structs.Node
 	NewStateMachine func(structs.ShardID) StateMachine
-	// OnLeadershipChange is told, in order, when this daemon begins and ceases to
-	// lead. Leading is true only once all that was committed is applied here.
+	// OnLeadershipChange is called, in order, when this daemon becomes leader
+	// and when it loses leadership. It is called with leading set only once
+	// all committed entries are applied here.
 	OnLeadershipChange func(shard structs.ShardID, leading bool, term uint64)
 	// TickInterval is the unit of the replicas' timeouts.
 	TickInterval time.Duration
-	// RetainedLogBytes bounds the applied entries that a replica keeps in memory for
-	// members that lag.
+	// RetainedLogBytes bounds the applied entries that a replica keeps in
+	// memory for lagging members.
 	RetainedLogBytes int
-	// Seed of the random source that spreads campaigns; 0 draws one.
+	// Seed seeds the random source that spreads campaigns. 0 draws a random seed.
 	Seed uint64
-	// Storage replaces the store in DataDir, for tests.
+	// Storage replaces the database in DataDir, for tests.
 	Storage Storage
 }
 
@@ -78,26 +81,27 @@
 	options Options
 	self    journal.MemberID
 	workers []*worker
-	store   *writer
+	writer  *storageWriter
 	// shards is copied on write under mutex and read without a lock.
-	shards   atomic.Pointer[map[structs.ShardID]*shard]
-	mutex    sync.Mutex
-	former   map[structs.ShardID]formerShard
-	suspects suspects
-	notices  *notifier
-	failed   atomic.Pointer[failure.DiskFailed]
-	closing  chan struct{}
-	closed   sync.Once
-	done     sync.WaitGroup
+	shards      atomic.Pointer[map[structs.ShardID]*shard]
+	mutex       sync.Mutex
+	removed     map[structs.ShardID]removedShard
+	suspicions  suspicionTracker
+	notifier    *leadershipNotifier
+	diskFailure atomic.Pointer[failure.DiskFailed]
+	closing     chan struct{}
+	closeOnce   sync.Once
+	goroutines  sync.WaitGroup
 }
 
-// formerShard is what is kept of a shard that left this daemon.
-type formerShard struct {
+// removedShard is what remains of a shard whose replica was removed from this
+// daemon.
+type removedShard struct {
 	tombstone *journalv1.State
 	status    Status
 }
 
-// NewHost starts a host with the shards that its store holds. The error is a
+// NewHost starts a host with the shards in its storage. The error is a
 // *failure.DiskFailed.
 func NewHost(options Options) (*Host, error) {
 	if options.TickInterval == 0 {
@@ -112,29 +116,29 @@
 	h := &Host{
 		options: options,
 		self:    journal.MemberID{Node: options.Self.ID, Incarnation: options.Self.Incarnation},
-		former:  map[structs.ShardID]formerShard{},
+		removed: map[structs.ShardID]removedShard{},
 		closing: make(chan struct{}),
 	}
 	h.shards.Store(&map[structs.ShardID]*shard{})
-	h.notices = newNotifier(options.OnLeadershipChange)
+	h.notifier = newLeadershipNotifier(options.OnLeadershipChange)
 	for i := range min(maxWorkers, runtime.GOMAXPROCS(0)) {
 		h.workers = append(h.workers, newWorker(h, uint64(i)))
 	}
-	if err := h.openStore(); err != nil {
+	if err := h.loadStorage(); err != nil {
 		return nil, err
 	}
-	h.start()
+	h.startGoroutines()
 	return h, nil
 }
 
-func (h *Host) openStore() error {
+func (h *Host) loadStorage() error {
 	storage := h.options.Storage
 	if storage == nil && h.options.DataDir != "" {
-		opened, err := OpenBoltStorage(h.options.DataDir, h.self.Incarnation)
+		database, err := OpenBoltStorage(h.options.DataDir, h.self.Incarnation)
 		if err != nil {
 			return err
 		}
-		storage = opened
+		storage = database
 	}
 	if storage == nil {
 		return nil
@@ -143,65 +147,67 @@
 	if err != nil {
 		return err
 	}
-	h.store = newWriter(storage, h.diskFailed)
-	for id, found := range stored {
-		if err := h.restore(id, found); err != nil {
+	h.writer = newStorageWriter(storage, h.handleDiskFailure)
+	for id, shard := range stored {
+		if err := h.restoreShard(id, shard); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (h *Host) restore(id structs.ShardID, found StoredShard) error {
-	if found.State.GetRemoved() {
-		h.former[id] = formerShard{tombstone: found.State, status: Status{Shard: id, Removed: true}}
+func (h *Host) restoreShard(id structs.ShardID, stored StoredShard) error {
+	if stored.State.GetRemoved() {
+		h.removed[id] = removedShard{tombstone: stored.State, status: Status{Shard: id, Removed: true}}
 		return nil
 	}
-	created := h.newShard(id, found.RestoredReplica())
-	if len(found.Snapshot.Data) > 0 {
-		if err := created.restoreMachine(found.Snapshot.Data); err != nil {
+	created := h.newShard(id, stored.RestoredReplica())
+	if len(stored.Snapshot.Data) > 0 {
+		if err := created.restoreStateMachine(stored.Snapshot.Data); err != nil {
 			return &failure.DiskFailed{Cause: err}
 		}
 	}
-	created.snapshotBytes, created.storedSnapshot = len(found.Snapshot.Data), found.Snapshot.Index
+	created.storedSnapshotBytes, created.storedSnapshotIndex = len(stored.Snapshot.Data), stored.Snapshot.Index
 	h.addShard(created)
 	return nil
 }
 
-func (h *Host) start() {
-	if h.store != nil {
-		h.done.Go(h.store.run)
+func (h *Host) startGoroutines() {
+	if h.writer != nil {
+		h.goroutines.Go(h.writer.run)
 	}
 	for _, w := range h.workers {
-		h.done.Go(w.run)
+		h.goroutines.Go(w.run)
 	}
-	h.done.Go(h.notices.run)
-	h.done.Go(h.watchNodes)
+	h.goroutines.Go(h.notifier.run)
+	h.goroutines.Go(h.pollNodes)
 }
 
-// Close stops the host at once. It hands nothing over and loses what only
-// memory holds; those who wait are told that the outcome is unknown.
+// Close stops the host immediately, without transferring leadership. State that
+// is only in memory is lost. Calls still waiting return an error; that of an
+// accepted request says that its outcome is unknown.
 func (h *Host) Close() error {
-	h.closed.Do(func() {
+	h.closeOnce.Do(func() {
 		close(h.closing)
-		h.notices.stop()
-		if h.store != nil {
-			h.store.stop()
+		h.notifier.stop()
+		if h.writer != nil {
+			h.writer.stop()
 		}
 	})
-	h.done.Wait()
-	if h.store != nil {
-		return h.store.storage.Close()
+	h.goroutines.Wait()
+	if h.writer != nil {
+		return h.writer.storage.Close()
 	}
 	return nil
 }
 
-// CreateReplica makes this daemon's replica of a new shard. It does nothing where the
-// shard exists or existed here, and where the group does not name this very
-// incarnation: a daemon that lost its memory is only ever admitted by a leader.
+// CreateReplica creates this daemon's replica of a new shard. It does nothing
+// if the shard exists or existed here, or if the group does not contain the
+// current incarnation of this daemon: a daemon that lost its state may only be
+// added to a group by its leader.
 func (h *Host) CreateReplica(group InitialGroup) error {
-	if failed := h.failed.Load(); failed != nil {
-		return failed
+	if cause := h.diskFailure.Load(); cause != nil {
+		return cause
 	}
 	if !slices.ContainsFunc(group.Members, func(m Member) bool { return m.ID() == h.self }) {
 		return nil
@@ -211,14 +217,14 @@
 	if _, exists := (*h.shards.Load())[group.Shard]; exists {
 		return nil
 	}
-	if _, existed := h.former[group.Shard]; existed {
+	if _, existed := h.removed[group.Shard]; existed {
 		return nil
 	}
-	genesis := journal.BootstrapState(group.Members)
-	created := h.newShard(group.Shard, genesis)
-	created.genesis = &journal.Snapshot{Membership: genesis.Membership}
+	initial := journal.BootstrapState(group.Members)
+	created := h.newShard(group.Shard, initial)
+	created.initialSnapshot = &journal.Snapshot{Membership: initial.Membership}
 	h.addShardLocked(created)
-	created.worker.post(&inputCreated{shard: created})
+	created.worker.enqueue(&shardCreatedItem{shard: created})
 	return nil
 }
 
@@ -240,43 +246,45 @@
 	next := maps.Clone(*h.shards.Load())
 	next[created.id] = created
 	h.shards.Store(&next)
-	delete(h.former, created.id)
+	delete(h.removed, created.id)
 }
 
-func (h *Host) dropShard(dropped *shard, tombstone *journalv1.State) {
+func (h *Host) removeShard(removed *shard, tombstone *journalv1.State) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	next := maps.Clone(*h.shards.Load())
-	delete(next, dropped.id)
+	delete(next, removed.id)
 	h.shards.Store(&next)
-	status := *dropped.status.Load()
+	status := *removed.status.Load()
 	status.Removed = true
-	h.former[dropped.id] = formerShard{tombstone: tombstone, status: status}
+	h.removed[removed.id] = removedShard{tombstone: tombstone, status: status}
 }
 
 func (h *Host) shard(id structs.ShardID) (*shard, bool) {
-	found, exists := (*h.shards.Load())[id]
-	return found, exists
+	s, exists := (*h.shards.Load())[id]
+	return s, exists
 }
 
-// ReconcileMembers moves the group toward the wanted voters while this daemon leads
-// it. A daemon that does not lead keeps the wish until it has led; one that
-// ceases to lead forgets it. Call it now and then at the leader.
-func (h *Host) ReconcileMembers(id structs.ShardID, wanted []Member) {
-	found, exists := h.shard(id)
+// ReconcileMembers sets the desired voters, which the replica works toward while
+// it leads the group. A daemon that does not lead keeps them until it has led.
+// They are cleared when it loses leadership, so the leader must call this
+// regularly.
+func (h *Host) ReconcileMembers(id structs.ShardID, desired []Member) {
+	s, exists := h.shard(id)
 	if !exists {
 		return
 	}
-	found.worker.post(&inputReconcile{shard: found, wanted: slices.Clone(wanted)})
+	s.worker.enqueue(&reconcileMembersItem{shard: s, desired: slices.Clone(desired)})
 }
 
-// diskFailed drops every replica: what it promises can no longer be kept.
-func (h *Host) diskFailed(cause *failure.DiskFailed) {
-	if !h.failed.CompareAndSwap(nil, cause) {
+// handleDiskFailure stops every replica, because it can no longer persist its
+// votes and acknowledgements.
+func (h *Host) handleDiskFailure(cause *failure.DiskFailed) {
+	if !h.diskFailure.CompareAndSwap(nil, cause) {
 		return
 	}
 	eventDiskFailed.Log("node", h.self.Node, "cause", cause.Error())
 	for _, w := range h.workers {
-		w.post(&inputDiskFailed{cause: cause})
+		w.enqueue(&diskFailedItem{cause: cause})
 	}
 }
--- a/internal/replication/host_test.go
+++ b/internal/replication/host_test.go
@@ -66,25 +66,25 @@
 }
 
 func TestRejectedSnapshotDropsReplica(t *testing.T) {
-	inGroup(t, func(t *testing.T, n *network, group []*daemon) {
+	runInGroup(t, func(t *testing.T, n *network, group []*daemon) {
 		for i := range 24 {
-			require.NoError(t, group[0].Propose(context.Background(), testShard, noise(i, 128<<10)))
+			require.NoError(t, group[0].Propose(context.Background(), testShard, incompressibleBytes(i, 128<<10)))
 		}
 		broken := n.start(t, "d", 1, func(o *Options) {
-			o.NewStateMachine = func(structs.ShardID) StateMachine { return &refusing{} }
+			o.NewStateMachine = func(structs.ShardID) StateMachine { return &rejectingMachine{} }
 		})
 		group[0].ReconcileMembers(testShard, members(group[0], group[1], broken))
 		time.Sleep(3 * time.Second)
-		status, held := broken.Status(testShard)
-		require.True(t, held && status.Removed)
+		status, found := broken.Status(testShard)
+		require.True(t, found && status.Removed)
 		require.Empty(t, broken.Statuses())
-		require.NoError(t, group[0].Propose(context.Background(), testShard, []byte("goes on")))
+		require.NoError(t, group[0].Propose(context.Background(), testShard, []byte("after the rejection")))
 	})
 }
 
-type refusing struct{ counter }
+type rejectingMachine struct{ recordingMachine }
 
-func (r *refusing) Restore([]byte) error { return &DecodeError{Reason: "test"} }
+func (r *rejectingMachine) Restore([]byte) error { return &DecodeError{Reason: "test"} }
 
 func TestProposeWithoutMajorityFailsImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -92,14 +92,14 @@
 		group := startGroup(t, n, 3)
 		_, err := group[0].EnsureLeader(context.Background(), testShard)
 		require.NoError(t, err)
-		n.isolate(group[0], true)
+		n.setIsolated(group[0], true)
 		group[0].SuspectNode("b")
 		group[0].SuspectNode("c")
 		time.Sleep(time.Second)
-		began := time.Now()
+		startTime := time.Now()
 		err = group[0].Propose(context.Background(), testShard, []byte("x"))
 		require.True(t, failure.IsType(err, "shard_unavailable"), "%v", err)
-		require.Zero(t, time.Since(began))
+		require.Zero(t, time.Since(startTime))
 		n.closeAll(t)
 	})
 }
--- a/internal/replication/main_test.go
+++ b/internal/replication/main_test.go
@@ -8,7 +8,7 @@
 	"k8s.io/klog/v2"
 )
 
-// TestMain keeps the log out of the results.
+// TestMain discards the log.
 func TestMain(m *testing.M) {
 	klog.LogToStderr(false)
 	klog.SetOutput(io.Discard)
--- a/internal/replication/memory_test.go
+++ b/internal/replication/memory_storage_test.go
@@ -9,31 +9,31 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// durable is a storage that outlives the hosts that use it, as a disk does.
-type durable struct {
+// memoryStorage is a storage in memory that outlives the hosts that use it.
+type memoryStorage struct {
 	mutex  sync.Mutex
 	shards map[structs.ShardID]StoredShard
 }
 
-func (d *durable) Load() (map[structs.ShardID]StoredShard, error) {
+func (d *memoryStorage) Load() (map[structs.ShardID]StoredShard, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return maps.Clone(d.shards), nil
 }
 
-func (d *durable) Write(writes []ShardWrite) error {
+func (d *memoryStorage) Write(writes []ShardWrite) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.shards == nil {
 		d.shards = map[structs.ShardID]StoredShard{}
 	}
 	for _, write := range writes {
-		d.shards[write.Shard] = changed(d.shards[write.Shard], write)
+		d.shards[write.Shard] = applyWrite(d.shards[write.Shard], write)
 	}
 	return nil
 }
 
-func changed(stored StoredShard, write ShardWrite) StoredShard {
+func applyWrite(stored StoredShard, write ShardWrite) StoredShard {
 	if write.Remove {
 		stored = StoredShard{}
 	}
@@ -56,4 +56,4 @@
 	return stored
 }
 
-func (d *durable) Close() error { return nil }
+func (d *memoryStorage) Close() error { return nil }
--- a/internal/replication/network_test.go
+++ b/internal/replication/network_test.go
@@ -17,28 +17,28 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// network connects hosts of one process. Batches travel encoded, in the order
-// in which they were sent, with the same delay, unless a node is cut off.
+// network connects hosts in one process. It encodes batches and delivers them in
+// order and with the same delay, unless a node is isolated.
 type network struct {
-	mutex   sync.Mutex
-	hosts   map[structs.NodeID]*Host
-	queues  map[structs.NodeID]chan delivery
-	cut     map[structs.NodeID]bool
-	delay   time.Duration
-	bytes   int
-	batches int
-	done    sync.WaitGroup
+	mutex      sync.Mutex
+	hosts      map[structs.NodeID]*Host
+	queues     map[structs.NodeID]chan delivery
+	isolated   map[structs.NodeID]bool
+	delay      time.Duration
+	bytes      int
+	batches    int
+	goroutines sync.WaitGroup
 }
 
 type delivery struct {
-	data []byte
-	due  time.Time
+	data      []byte
+	deliverAt time.Time
 }
 
 func newNetwork(delay time.Duration) *network {
 	return &network{
 		hosts: map[structs.NodeID]*Host{}, queues: map[structs.NodeID]chan delivery{},
-		cut: map[structs.NodeID]bool{}, delay: delay,
+		isolated: map[structs.NodeID]bool{}, delay: delay,
 	}
 }
 
@@ -53,49 +53,49 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.batches, n.bytes = n.batches+1, n.bytes+len(data)
-	if queue, known := n.queues[to]; known && !n.cut[e.self] && !n.cut[to] {
+	if queue, known := n.queues[to]; known && !n.isolated[e.self] && !n.isolated[to] {
 		select {
-		case queue <- delivery{data: data, due: time.Now().Add(n.delay)}:
+		case queue <- delivery{data: data, deliverAt: time.Now().Add(n.delay)}:
 		default:
 		}
 	}
 }
 
-// deliver hands batches to a host until it is closed.
+// deliver passes batches to a host until it is closed.
 func (n *network) deliver(to *Host, queue chan delivery) {
 	for {
 		select {
 		case <-to.closing:
 			return
 		case item := <-queue:
-			time.Sleep(time.Until(item.due))
+			time.Sleep(time.Until(item.deliverAt))
 			batch := &journalv1.Batch{}
-			if !n.isCut(to.self.Node) && proto.Unmarshal(item.data, batch) == nil {
+			if !n.isIsolated(to.self.Node) && proto.Unmarshal(item.data, batch) == nil {
 				to.Receive(batch)
 			}
 		}
 	}
 }
 
-func (n *network) isCut(id structs.NodeID) bool {
+func (n *network) isIsolated(id structs.NodeID) bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return n.cut[id]
+	return n.isolated[id]
 }
 
-// counter is a state machine that remembers its records.
-type counter struct {
+// recordingMachine is a state machine that stores its records.
+type recordingMachine struct {
 	mutex   sync.Mutex
 	records []string
 }
 
-func (c *counter) Apply(_ uint64, data []byte) {
+func (c *recordingMachine) Apply(_ uint64, data []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.records = append(c.records, string(data))
 }
 
-func (c *counter) Snapshot() ([]byte, error) {
+func (c *recordingMachine) Snapshot() ([]byte, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var data []byte
@@ -106,7 +106,7 @@
 	return data, nil
 }
 
-func (c *counter) Restore(data []byte) error {
+func (c *recordingMachine) Restore(data []byte) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.records = nil
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (c *counter) all() []string {
+func (c *recordingMachine) recordsCopy() []string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return append([]string{}, c.records...)
@@ -135,7 +135,7 @@
 	if !ok {
 		return nil
 	}
-	return machine.(*counter).all()
+	return machine.(*recordingMachine).recordsCopy()
 }
 
 func (n *network) start(t testing.TB, name string, incarnation uint64, adjust func(*Options)) *daemon {
@@ -146,7 +146,7 @@
 		Transport: &endpoint{network: n, self: structs.NodeID(name)},
 		Seed:      incarnation + uint64(name[0]),
 		NewStateMachine: func(id structs.ShardID) StateMachine {
-			machine := &counter{}
+			machine := &recordingMachine{}
 			d.machines.Store(id, machine)
 			return machine
 		},
@@ -160,15 +160,15 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	queue := make(chan delivery, 1<<16)
-	n.hosts[host.self.Node], n.queues[host.self.Node], n.cut[host.self.Node] = host, queue, false
-	n.done.Go(func() { n.deliver(host, queue) })
+	n.hosts[host.self.Node], n.queues[host.self.Node], n.isolated[host.self.Node] = host, queue, false
+	n.goroutines.Go(func() { n.deliver(host, queue) })
 	return d
 }
 
-// kill stops a host as a crash would: nothing is handed over.
+// kill isolates and closes a host without draining it, like a crash.
 func (n *network) kill(t testing.TB, d *daemon) {
 	t.Helper()
-	n.isolate(d, true)
+	n.setIsolated(d, true)
 	require.NoError(t, d.Close())
 }
 
@@ -179,13 +179,13 @@
 	for _, host := range hosts {
 		require.NoError(t, host.Close())
 	}
-	n.done.Wait()
+	n.goroutines.Wait()
 }
 
-func (n *network) isolate(d *daemon, cut bool) {
+func (n *network) setIsolated(d *daemon, isolated bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut[d.self.Node] = cut
+	n.isolated[d.self.Node] = isolated
 }
 
 func members(daemons ...*daemon) []Member {
@@ -196,7 +196,7 @@
 	return list
 }
 
-// startGroup starts daemons a, b, … with one shard 7.
+// startGroup starts the daemons a, b, … as the members of testShard.
 func startGroup(t testing.TB, n *network, size int) []*daemon {
 	t.Helper()
 	var daemons []*daemon
@@ -209,8 +209,8 @@
 	return daemons
 }
 
-// noise returns bytes that do not compress.
-func noise(seed, size int) []byte {
+// incompressibleBytes returns random bytes.
+func incompressibleBytes(seed, size int) []byte {
 	data := make([]byte, size)
 	_, _ = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)}).Read(data)
 	return data
--- a/internal/replication/notifier.go
+++ b/internal/replication/notifier.go
@@ -6,37 +6,38 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// notifier calls OnLeadershipChange from a goroutine of its own, in order, so that
-// the callee may call the host.
-type notifier struct {
-	call    func(shard structs.ShardID, leading bool, term uint64)
-	mutex   sync.Mutex
-	queue   []leadershipNotice
-	wake    chan struct{}
-	closing chan struct{}
+// leadershipNotifier calls OnLeadershipChange in order from its own goroutine.
+// The callback may therefore call the host.
+type leadershipNotifier struct {
+	callback func(shard structs.ShardID, leading bool, term uint64)
+	mutex    sync.Mutex
+	queue    []leadershipChange
+	wake     chan struct{}
+	closing  chan struct{}
 }
 
-type leadershipNotice struct {
+// leadershipChange holds the arguments of one OnLeadershipChange call.
+type leadershipChange struct {
 	shard   structs.ShardID
 	leading bool
 	term    uint64
 }
 
-func newNotifier(call func(structs.ShardID, bool, uint64)) *notifier {
-	return &notifier{call: call, wake: make(chan struct{}, 1), closing: make(chan struct{})}
+func newLeadershipNotifier(call func(structs.ShardID, bool, uint64)) *leadershipNotifier {
+	return &leadershipNotifier{callback: call, wake: make(chan struct{}, 1), closing: make(chan struct{})}
 }
 
-func (n *notifier) notify(notice leadershipNotice) {
-	if n.call == nil {
+func (n *leadershipNotifier) enqueue(change leadershipChange) {
+	if n.callback == nil {
 		return
 	}
 	n.mutex.Lock()
-	n.queue = append(n.queue, notice)
+	n.queue = append(n.queue, change)
 	n.mutex.Unlock()
 	signal(n.wake)
 }
 
-func (n *notifier) run() {
+func (n *leadershipNotifier) run() {
 	for {
 		select {
 		case <-n.closing:
@@ -44,17 +45,19 @@
 		case <-n.wake:
 		}
 		n.mutex.Lock()
-		notices := n.queue
+		changes := n.queue
 		n.queue = nil
 		n.mutex.Unlock()
-		for _, notice := range notices {
-			n.call(notice.shard, notice.leading, notice.term)
+		for _, change := range changes {
+			n.callback(change.shard, change.leading, change.term)
 		}
 	}
 }
 
-func (n *notifier) stop() { close(n.closing) }
+func (n *leadershipNotifier) stop() { close(n.closing) }
 
+// signal wakes the receiver without blocking. Signals that are not received yet
+// are merged.
 func signal(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
--- a/internal/replication/persist.go
+++ b/internal/replication/persist.go
@@ -4,52 +4,54 @@
 	"github.com/barleyshelf/barleyshelf/internal/journal"
 )
 
-// minimumSnapshotBytes is the least growth of the stored log between two
-// stored snapshots. Beyond it a snapshot waits until the log has grown by as
-// much as the last snapshot held, so that snapshots cost a constant factor of
-// what is written and nothing that grows with the state.
-const minimumSnapshotBytes = 4 << 20
+// minLogBytesBetweenSnapshots is the minimum growth of the stored log between
+// two stored snapshots. If the last snapshot was larger, the log must grow by
+// the size of that snapshot. The cost of snapshots is then proportional to the
+// bytes written and does not grow with the state.
+const minLogBytesBetweenSnapshots = 4 << 20
 
-// store hands a Ready to the store, or, without one, reports it stored at once.
-func (s *shard) store(ready journal.Ready) {
-	stored := &inputStored{shard: s, messages: ready.MessagesAfterStore}
+// persistReady passes a Ready to the storage writer. Without storage it reports
+// the Ready as persisted immediately.
+func (s *shard) persistReady(ready journal.Ready) {
+	persisted := &persistedItem{shard: s, messages: ready.MessagesAfterStore}
 	if count := len(ready.Entries); count > 0 {
 		last := ready.Entries[count-1]
-		stored.index, stored.term = last.Index, last.Term
+		persisted.index, persisted.term = last.Index, last.Term
 	}
-	if s.host.store == nil {
-		s.worker.send(ready.MessagesAfterStore)
-		s.replica.Persisted(stored.index, stored.term)
+	if s.host.writer == nil {
+		s.worker.queueMessages(ready.MessagesAfterStore)
+		s.replica.Persisted(persisted.index, persisted.term)
 		return
 	}
 	write := ShardWrite{Shard: s.id, State: ready.State, Snapshot: ready.Snapshot, Entries: ready.Entries}
-	if s.genesis != nil && write.Snapshot == nil {
-		write.Snapshot = s.genesis
+	if s.initialSnapshot != nil && write.Snapshot == nil {
+		write.Snapshot = s.initialSnapshot
 	}
-	s.genesis = nil
+	s.initialSnapshot = nil
 	if write.Snapshot != nil {
-		s.storedSnapshot = write.Snapshot.Index
-		s.snapshotBytes, s.logBytes = len(write.Snapshot.Data), 0
+		s.storedSnapshotIndex = write.Snapshot.Index
+		s.storedSnapshotBytes, s.storedLogBytes = len(write.Snapshot.Data), 0
 	}
 	for _, entry := range ready.Entries {
-		s.logBytes += len(entry.Data)
+		s.storedLogBytes += len(entry.Data)
 	}
-	if write.empty() && len(ready.MessagesAfterStore) == 0 {
+	if write.isEmpty() && len(ready.MessagesAfterStore) == 0 {
 		return
 	}
-	s.host.store.write(write, func() { s.worker.post(stored) })
+	s.host.writer.enqueue(write, func() { s.worker.enqueue(persisted) })
 }
 
-// compact bounds the log in memory and in the store. In memory the applied
-// state stands for the dropped entries, and no snapshot is made.
-func (s *shard) compact() {
+// compactLog bounds the log in memory and in storage. Compacting the log in
+// memory needs no snapshot, because the state machine holds the state of the
+// dropped entries.
+func (s *shard) compactLog() {
 	if s.replica.LogBytes() > 2*s.host.options.RetainedLogBytes {
 		s.replica.Compact(s.host.options.RetainedLogBytes)
 	}
-	if s.host.store == nil || s.logBytes < max(minimumSnapshotBytes, s.snapshotBytes) {
+	if s.host.writer == nil || s.storedLogBytes < max(minLogBytesBetweenSnapshots, s.storedSnapshotBytes) {
 		return
 	}
-	s.logBytes = 0
-	s.jobs.store = true
-	s.startJob()
+	s.storedLogBytes = 0
+	s.jobs.writeToStorage = true
+	s.startNextJob()
 }
--- a/internal/replication/propose.go
+++ b/internal/replication/propose.go
@@ -7,60 +7,61 @@
 	"github.com/barleyshelf/barleyshelf/internal/journal"
 )
 
-// proposal is a record in the log whose proposer waits.
-type proposal struct {
+// pendingProposal is a proposal in the log whose caller waits for its commit.
+type pendingProposal struct {
 	index, term uint64
 	waiter      *waiter
 }
 
-type roundWaiter struct {
+// pendingConfirmation is a ConfirmLeadership call that waits for its round.
+type pendingConfirmation struct {
 	round  uint64
 	waiter *waiter
 }
 
-// propose appends all that is queued at once.
-func (s *shard) propose() {
-	if len(s.queued) == 0 {
+// appendQueuedProposals appends all queued proposals in one batch.
+func (s *shard) appendQueuedProposals() {
+	if len(s.queuedProposals) == 0 {
 		return
 	}
-	queued := s.queued
-	s.queued = nil
-	if refusal := s.refusal(); refusal != nil {
-		refuse(queued, refusal)
+	queued := s.queuedProposals
+	s.queuedProposals = nil
+	if err := s.unavailableError(); err != nil {
+		failProposals(queued, err)
 		return
 	}
-	taken := queued[:0]
+	accepted := queued[:0]
 	data := make([][]byte, 0, len(queued))
 	for _, item := range queued {
-		if item.term != 0 && item.term != s.term() {
-			item.waiter.finish(s.notLeader())
+		if item.term != 0 && item.term != s.currentTerm() {
+			item.waiter.complete(s.notLeaderError())
 			continue
 		}
-		if item.waiter.take() {
-			taken = append(taken, item)
+		if item.waiter.accept() {
+			accepted = append(accepted, item)
 			data = append(data, item.data)
 		}
 	}
 	first, term, err := s.replica.Propose(data)
 	if err != nil {
-		refuse(taken, s.translate(err))
+		failProposals(accepted, s.proposeError(err))
 		return
 	}
-	for i, item := range taken {
-		s.proposals = append(s.proposals, proposal{index: first + uint64(i), term: term, waiter: item.waiter})
+	for i, item := range accepted {
+		s.pendingProposals = append(s.pendingProposals, pendingProposal{index: first + uint64(i), term: term, waiter: item.waiter})
 	}
 }
 
-func refuse(items []*inputPropose, refusal error) {
+func failProposals(items []*proposeItem, cause error) {
 	for _, item := range items {
-		item.waiter.finish(refusal)
+		item.waiter.complete(cause)
 	}
 }
 
-// refusal returns why nothing can be proposed now, or nil.
-func (s *shard) refusal() error {
+// unavailableError returns why the replica cannot accept requests now, or nil.
+func (s *shard) unavailableError() error {
 	if !s.replica.Serving() {
-		return s.notLeader()
+		return s.notLeaderError()
 	}
 	if !s.replica.MajorityReachable() {
 		return &failure.ShardUnavailable{Shard: uint32(s.id)}
@@ -68,7 +69,7 @@
 	return nil
 }
 
-func (s *shard) notLeader() error {
+func (s *shard) notLeaderError() error {
 	_, _, leader, _, _ := s.replica.BasicStatus()
 	if leader.WithoutAdmission() == s.host.self {
 		leader = journal.MemberID{}
@@ -76,100 +77,102 @@
 	return &failure.NotLeader{Shard: uint32(s.id), Leader: string(leader.Node)}
 }
 
-func (s *shard) translate(err error) error {
-	var full *journal.UncommittedLimitReached
-	if errors.As(err, &full) {
-		return &failure.Overloaded{Resource: "journal", Wait: overloadedWaitTicks * s.host.options.TickInterval}
+func (s *shard) proposeError(err error) error {
+	var logFull *journal.UncommittedLimitReached
+	if errors.As(err, &logFull) {
+		return &failure.Overloaded{Resource: "journal", Wait: overloadedRetryTicks * s.host.options.TickInterval}
 	}
-	return s.notLeader()
+	return s.notLeaderError()
 }
 
-// overloadedWaitTicks is when to come back to a full log.
-const overloadedWaitTicks = 10
+// overloadedRetryTicks is the suggested delay before a proposal that a full log
+// rejected is retried.
+const overloadedRetryTicks = 10
 
-func (s *shard) confirm() {
-	if len(s.confirming) == 0 {
+func (s *shard) startConfirmations() {
+	if len(s.queuedConfirmations) == 0 {
 		return
 	}
-	waiting := s.confirming
-	s.confirming = nil
-	if refusal := s.refusal(); refusal != nil {
-		for _, w := range waiting {
-			w.finish(refusal)
+	queued := s.queuedConfirmations
+	s.queuedConfirmations = nil
+	if err := s.unavailableError(); err != nil {
+		for _, w := range queued {
+			w.complete(err)
 		}
 		return
 	}
 	round, err := s.replica.ConfirmLeadership()
 	if err != nil {
-		for _, w := range waiting {
-			w.finish(s.translate(err))
+		for _, w := range queued {
+			w.complete(s.proposeError(err))
 		}
 		return
 	}
-	for _, w := range waiting {
-		s.rounds = append(s.rounds, roundWaiter{round: round, waiter: w})
+	for _, w := range queued {
+		s.pendingConfirmations = append(s.pendingConfirmations, pendingConfirmation{round: round, waiter: w})
 	}
 }
 
-func (s *shard) answerRounds() {
-	for s.jobs.idle() && len(s.rounds) > 0 && s.rounds[0].round <= s.jobs.confirmed {
-		s.rounds[0].waiter.finish(nil)
-		s.rounds = s.rounds[1:]
+func (s *shard) completeConfirmations() {
+	for s.jobs.isCaughtUp() && len(s.pendingConfirmations) > 0 && s.pendingConfirmations[0].round <= s.jobs.confirmedRound {
+		s.pendingConfirmations[0].waiter.complete(nil)
+		s.pendingConfirmations = s.pendingConfirmations[1:]
 	}
 }
 
-func (s *shard) failWaiting(proposed, confirming error) {
-	for _, waiting := range s.proposals {
-		waiting.waiter.finish(proposed)
+func (s *shard) failPending(proposalErr, confirmationErr error) {
+	for _, pending := range s.pendingProposals {
+		pending.waiter.complete(proposalErr)
 	}
-	for _, waiting := range s.rounds {
-		waiting.waiter.finish(confirming)
+	for _, pending := range s.pendingConfirmations {
+		pending.waiter.complete(confirmationErr)
 	}
-	s.proposals, s.rounds = nil, nil
+	s.pendingProposals, s.pendingConfirmations = nil, nil
 }
 
-// answerEnsuring answers those who wait for a leader, or goes on looking.
-func (s *shard) answerEnsuring() {
-	if len(s.ensuring) == 0 {
+// completeEnsureLeader completes the EnsureLeader calls if the leader is known,
+// fails those that waited too long and continues the search for the others.
+func (s *shard) completeEnsureLeader() {
+	if len(s.ensureLeaderWaiters) == 0 {
 		return
 	}
 	role, _, leader, _, _ := s.replica.BasicStatus()
-	if s.replica.LeaderConfirmed() && (role != journal.Leader || s.serving()) {
-		for _, waiting := range s.ensuring {
-			waiting.leader = leader.Node
-			waiting.finish(nil)
+	if s.replica.LeaderConfirmed() && (role != journal.Leader || s.isServing()) {
+		for _, w := range s.ensureLeaderWaiters {
+			w.leader = leader.Node
+			w.complete(nil)
 		}
-		s.ensuring = nil
+		s.ensureLeaderWaiters = nil
 		return
 	}
 	if leader == (journal.MemberID{}) && !s.replica.IsVoter() {
-		s.failEnsuring(0, s.notLeader())
+		s.failEnsureLeader(0, s.notLeaderError())
 		return
 	}
-	limit := ensureTicks
+	maxTicks := ensureLeaderTicks
 	if !s.replica.MajorityReachable() {
-		limit = ensureGraceTicks
+		maxTicks = ensureLeaderNoMajorityTicks
 	}
-	s.failEnsuring(limit, &failure.ShardUnavailable{Shard: uint32(s.id)})
-	if len(s.ensuring) > 0 {
+	s.failEnsureLeader(maxTicks, &failure.ShardUnavailable{Shard: uint32(s.id)})
+	if len(s.ensureLeaderWaiters) > 0 {
 		s.replica.EnsureLeader()
 	}
 }
 
-func (s *shard) failEnsuring(ticks int, cause error) {
-	left := s.ensuring[:0]
-	for _, waiting := range s.ensuring {
-		if waiting.ticks >= ticks {
-			waiting.finish(cause)
+func (s *shard) failEnsureLeader(minWaitedTicks int, cause error) {
+	remaining := s.ensureLeaderWaiters[:0]
+	for _, w := range s.ensureLeaderWaiters {
+		if w.waitedTicks >= minWaitedTicks {
+			w.complete(cause)
 			continue
 		}
-		left = append(left, waiting)
+		remaining = append(remaining, w)
 	}
-	s.ensuring = left
+	s.ensureLeaderWaiters = remaining
 }
 
-// term returns the replica's present term.
-func (s *shard) term() uint64 {
+// currentTerm returns the replica's current term.
+func (s *shard) currentTerm() uint64 {
 	_, term, _, _, _ := s.replica.BasicStatus()
 	return term
 }
--- a/internal/replication/requests.go
+++ b/internal/replication/requests.go
@@ -7,45 +7,45 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Propose appends data to the shard's log and returns nil when it is committed
-// and applied here. The error is *failure.NotLeader, *failure.ShardUnavailable,
-// *failure.Overloaded or *failure.DiskFailed when data will never be
-// committed, and *failure.ProposalUnknown when it may be.
+// Propose appends data to the shard's log and returns nil once it is committed
+// and applied here. The error is a *failure.NotLeader, *failure.ShardUnavailable,
+// *failure.Overloaded or *failure.DiskFailed if data will never be committed,
+// and a *failure.ProposalUnknown if it may be.
 func (h *Host) Propose(ctx context.Context, id structs.ShardID, data []byte) error {
-	found, exists := h.shard(id)
+	s, exists := h.shard(id)
 	if !exists {
-		return h.absent(id)
+		return h.noReplicaError(id)
 	}
-	waiting := newWaiter()
-	found.worker.post(&inputPropose{shard: found, data: encodeRecord(data), waiter: waiting})
-	return waiting.wait(ctx, h, id)
+	w := newWaiter()
+	s.worker.enqueue(&proposeItem{shard: s, data: encodeFrame(data), waiter: w})
+	return w.await(ctx, h, id)
 }
 
-// ProposeInTerm is Propose for data that was decided on in a term of this
-// daemon's leadership: it appends nothing in any other term, because records of
-// another leader may lie between the decision and the append. The error is then
-// a *failure.NotLeader.
+// ProposeInTerm is Propose for data that depends on the state in one term of
+// this daemon's leadership. In any other term it appends nothing, because
+// records of another leader may have changed that state. The error is then a
+// *failure.NotLeader.
 func (h *Host) ProposeInTerm(ctx context.Context, id structs.ShardID, term uint64, data []byte) error {
-	found, exists := h.shard(id)
+	s, exists := h.shard(id)
 	if !exists {
-		return h.absent(id)
+		return h.noReplicaError(id)
 	}
-	waiting := newWaiter()
-	found.worker.post(&inputPropose{shard: found, term: term, data: encodeRecord(data), waiter: waiting})
-	return waiting.wait(ctx, h, id)
+	w := newWaiter()
+	s.worker.enqueue(&proposeItem{shard: s, term: term, data: encodeFrame(data), waiter: w})
+	return w.await(ctx, h, id)
 }
 
-// ConfirmLeadership returns nil when a majority confirmed, after the call,
-// that this daemon leads the shard; all that was committed before the call is
-// then applied here.
+// ConfirmLeadership returns nil if a majority confirmed after the call that
+// this daemon leads the shard. All entries committed before the call are then
+// applied here.
 func (h *Host) ConfirmLeadership(ctx context.Context, id structs.ShardID) error {
-	found, exists := h.shard(id)
+	s, exists := h.shard(id)
 	if !exists {
-		return h.absent(id)
+		return h.noReplicaError(id)
 	}
-	waiting := newWaiter()
-	found.worker.post(&inputConfirm{shard: found, waiter: waiting})
-	if err := waiting.wait(ctx, h, id); err != nil {
+	w := newWaiter()
+	s.worker.enqueue(&confirmLeadershipItem{shard: s, waiter: w})
+	if err := w.await(ctx, h, id); err != nil {
 		if failure.IsType(err, (&failure.ProposalUnknown{}).Type()) {
 			return &failure.ShardUnavailable{Shard: uint32(id)}
 		}
@@ -54,30 +54,31 @@
 	return nil
 }
 
-// EnsureLeader returns the node that leads the shard and is ready to serve, if
-// it is this one, or that answered as its leader. It campaigns where no leader
-// is known, and where the leader is suspected or does not answer. The error is
-// *failure.ShardUnavailable, or *failure.NotLeader at a daemon that is no voter.
+// EnsureLeader returns the leader of the shard: this node once it is ready to
+// serve, or a node that answered as leader. It campaigns if no leader is known,
+// or if the leader is suspected or does not answer. The error is a
+// *failure.ShardUnavailable, or a *failure.NotLeader if this daemon is not a
+// voter.
 func (h *Host) EnsureLeader(ctx context.Context, id structs.ShardID) (structs.NodeID, error) {
-	found, exists := h.shard(id)
+	s, exists := h.shard(id)
 	if !exists {
-		return "", h.absent(id)
+		return "", h.noReplicaError(id)
 	}
-	waiting := newWaiter()
-	found.worker.post(&inputEnsure{shard: found, waiter: waiting})
-	if err := waiting.wait(ctx, h, id); err != nil {
+	w := newWaiter()
+	s.worker.enqueue(&ensureLeaderItem{shard: s, waiter: w})
+	if err := w.await(ctx, h, id); err != nil {
 		if failure.IsType(err, (&failure.ProposalUnknown{}).Type()) {
 			return "", &failure.ShardUnavailable{Shard: uint32(id)}
 		}
 		return "", err
 	}
-	return waiting.leader, nil
+	return w.leader, nil
 }
 
-// absent is the answer about a shard that has no replica here.
-func (h *Host) absent(id structs.ShardID) error {
-	if failed := h.failed.Load(); failed != nil {
-		return failed
+// noReplicaError returns the error for a shard that has no replica here.
+func (h *Host) noReplicaError(id structs.ShardID) error {
+	if cause := h.diskFailure.Load(); cause != nil {
+		return cause
 	}
 	status, _ := h.Status(id)
 	return &failure.NotLeader{Shard: uint32(id), Leader: string(status.Leader)}
--- a/internal/replication/shard.go
+++ b/internal/replication/shard.go
@@ -9,218 +9,225 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// ensureGraceTicks is how long EnsureLeader goes on while the failure detector
-// holds that a majority is gone; ensureTicks how long otherwise.
+// ensureLeaderNoMajorityTicks is how long EnsureLeader waits while the failure
+// detector reports that a majority is unreachable. ensureLeaderTicks is how
+// long it waits otherwise.
 const (
-	ensureGraceTicks = 10
-	ensureTicks      = 150
+	ensureLeaderNoMajorityTicks = 10
+	ensureLeaderTicks           = 150
 )
 
-// shard is one replica with its state machine. All but id, worker and status
-// belongs to the worker's goroutine.
+// shard is one replica with its state machine. Only the worker's goroutine uses
+// the fields other than host, id, worker and status.
 type shard struct {
-	host    *Host
-	id      structs.ShardID
-	worker  *worker
-	replica *journal.Replica
-	machine StateMachine
-	status  atomic.Pointer[Status]
-
-	queued     []*inputPropose
-	proposals  []proposal
-	confirming []*waiter
-	rounds     []roundWaiter
-	ensuring   []*waiter
-
-	genesis *journal.Snapshot
-	wanted  []Member
-	// servingTerm is the term in which OnLeadershipChange was told of leading, or 0.
-	servingTerm uint64
-	// membersIndex is the membership whose suspicions were looked up.
-	membersIndex uint64
-	// logBytes counts what was stored since the last stored snapshot, which
-	// had snapshotBytes.
-	logBytes, snapshotBytes int
-	// storedSnapshot is the index of the snapshot last handed to the store.
-	storedSnapshot uint64
-	// applied is the last entry that the state machine holds.
-	applied uint64
-	jobs    jobs
-	dropped bool
+	host         *Host
+	id           structs.ShardID
+	worker       *worker
+	replica      *journal.Replica
+	stateMachine StateMachine
+	status       atomic.Pointer[Status]
+
+	queuedProposals      []*proposeItem
+	pendingProposals     []pendingProposal
+	queuedConfirmations  []*waiter
+	pendingConfirmations []pendingConfirmation
+	ensureLeaderWaiters  []*waiter
+
+	initialSnapshot *journal.Snapshot
+	desiredMembers  []Member
+	// reportedTerm is the term in which leadership was last reported to
+	// OnLeadershipChange, or 0 while this daemon is not reported as leader.
+	reportedTerm uint64
+	// suspicionMembershipIndex is the index of the membership whose members
+	// were last checked for suspicions.
+	suspicionMembershipIndex uint64
+	// storedLogBytes is the size of the entries stored since the last stored
+	// snapshot. storedSnapshotBytes is the size of that snapshot.
+	storedLogBytes, storedSnapshotBytes int
+	// storedSnapshotIndex is the index of the last snapshot passed to the
+	// storage writer.
+	storedSnapshotIndex uint64
+	// appliedIndex is the index of the last entry applied to stateMachine.
+	appliedIndex uint64
+	jobs         snapshotJobs
+	stopped      bool
 }
 
 func newShard(h *Host, id structs.ShardID, w *worker, replica *journal.Replica) *shard {
-	s := &shard{host: h, id: id, worker: w, replica: replica, machine: h.options.NewStateMachine(id)}
-	_, _, _, _, s.applied = replica.BasicStatus()
-	s.refreshSuspicion()
-	s.publish()
+	s := &shard{host: h, id: id, worker: w, replica: replica, stateMachine: h.options.NewStateMachine(id)}
+	_, _, _, _, s.appliedIndex = replica.BasicStatus()
+	s.setSuspectedMembers()
+	s.publishStatus()
 	return s
 }
 
-func (s *shard) restoreMachine(frame []byte) error {
-	data, err := decodeRecord(frame)
+func (s *shard) restoreStateMachine(frame []byte) error {
+	data, err := decodeFrame(frame)
 	if err != nil {
 		return err
 	}
-	return s.machine.Restore(data)
+	return s.stateMachine.Restore(data)
 }
 
-// process takes what is queued to the replica and does what it wants done.
+// process passes queued requests to the replica and handles its output.
 func (s *shard) process() {
-	if s.dropped {
+	if s.stopped {
 		return
 	}
-	if s.replica.MembershipIndex() != s.membersIndex {
-		s.refreshSuspicion()
+	if s.replica.MembershipIndex() != s.suspicionMembershipIndex {
+		s.setSuspectedMembers()
 	}
-	s.propose()
-	s.confirm()
-	for s.replica.HasReady() && !s.dropped {
-		s.handle(s.replica.Ready())
+	s.appendQueuedProposals()
+	s.startConfirmations()
+	for s.replica.HasReady() && !s.stopped {
+		s.handleReady(s.replica.Ready())
 	}
-	if s.dropped {
+	if s.stopped {
 		return
 	}
-	s.compact()
-	s.startJob()
-	s.answerRounds()
-	s.noteLeadership()
-	s.answerEnsuring()
-	s.publish()
+	s.compactLog()
+	s.startNextJob()
+	s.completeConfirmations()
+	s.updateLeadership()
+	s.completeEnsureLeader()
+	s.publishStatus()
 }
 
-func (s *shard) handle(ready journal.Ready) {
-	s.worker.send(ready.ImmediateMessages)
-	s.store(ready)
+func (s *shard) handleReady(ready journal.Ready) {
+	s.worker.queueMessages(ready.ImmediateMessages)
+	s.persistReady(ready)
 	if ready.Snapshot != nil {
-		s.jobs.restore, s.jobs.deferred = ready.Snapshot, nil
-		s.startJob()
+		s.jobs.pendingRestore, s.jobs.deferredEntries = ready.Snapshot, nil
+		s.startNextJob()
 	}
-	s.applyAll(ready.CommittedEntries)
-	s.jobs.confirmed = max(s.jobs.confirmed, ready.ConfirmedRound)
-	s.jobs.offer = s.jobs.offer || ready.SnapshotNeeded
-	s.startJob()
+	s.applyOrDefer(ready.CommittedEntries)
+	s.jobs.confirmedRound = max(s.jobs.confirmedRound, ready.ConfirmedRound)
+	s.jobs.offerToPeers = s.jobs.offerToPeers || ready.SnapshotNeeded
+	s.startNextJob()
 	if ready.Removed {
-		s.leave()
+		s.removeFromGroup()
 	}
 }
 
-func (s *shard) apply(entry *journalv1.Entry) {
-	if s.dropped {
+func (s *shard) applyEntry(entry *journalv1.Entry) {
+	if s.stopped {
 		return
 	}
 	if entry.Type == journalv1.EntryType_ENTRY_TYPE_DATA {
-		data, err := decodeRecord(entry.Data)
+		data, err := decodeFrame(entry.Data)
 		if err != nil {
-			s.refused(err)
+			s.dropRejected(err)
 			return
 		}
-		s.machine.Apply(entry.Index, data)
-	}
-	s.applied = entry.Index
-	for len(s.proposals) > 0 && s.proposals[0].index <= entry.Index {
-		waiting := s.proposals[0]
-		s.proposals = s.proposals[1:]
-		if waiting.index == entry.Index && waiting.term == entry.Term {
-			waiting.waiter.finish(nil)
+		s.stateMachine.Apply(entry.Index, data)
+	}
+	s.appliedIndex = entry.Index
+	for len(s.pendingProposals) > 0 && s.pendingProposals[0].index <= entry.Index {
+		pending := s.pendingProposals[0]
+		s.pendingProposals = s.pendingProposals[1:]
+		if pending.index == entry.Index && pending.term == entry.Term {
+			pending.waiter.complete(nil)
 			continue
 		}
-		// Another entry was committed in its place: it can never be.
-		waiting.waiter.finish(s.notLeader())
+		// Another entry was committed at this index, so the proposal can never
+		// be committed.
+		pending.waiter.complete(s.notLeaderError())
 	}
 }
 
-// noteLeadership tells the daemon of changes, and those who wait on a
-// leadership that is over.
-func (s *shard) noteLeadership() {
+// updateLeadership reports leadership changes to OnLeadershipChange and fails the
+// requests that waited on a lost leadership.
+func (s *shard) updateLeadership() {
 	role, term, _, _, _ := s.replica.BasicStatus()
-	serving := s.serving()
-	if s.servingTerm != 0 && (!serving || term != s.servingTerm) {
-		eventNotLeading.Log("shard", s.id, "term", s.servingTerm)
-		s.host.notices.notify(leadershipNotice{shard: s.id, term: s.servingTerm})
-		s.servingTerm = 0
-		// What a leader wished for may be long out of date when it leads again.
-		s.reconcile(nil)
+	serving := s.isServing()
+	if s.reportedTerm != 0 && (!serving || term != s.reportedTerm) {
+		eventLostLeadership.Log("shard", s.id, "term", s.reportedTerm)
+		s.host.notifier.enqueue(leadershipChange{shard: s.id, term: s.reportedTerm})
+		s.reportedTerm = 0
+		// Desired members of a former leader may be outdated when it leads
+		// again.
+		s.setDesiredMembers(nil)
 	}
 	if role != journal.Leader {
-		s.failWaiting(&failure.ProposalUnknown{Shard: uint32(s.id)}, s.notLeader())
+		s.failPending(&failure.ProposalUnknown{Shard: uint32(s.id)}, s.notLeaderError())
 	}
-	if serving && s.servingTerm == 0 {
-		s.servingTerm = term
-		eventLeading.Log("shard", s.id, "term", term)
-		s.host.notices.notify(leadershipNotice{shard: s.id, leading: true, term: term})
+	if serving && s.reportedTerm == 0 {
+		s.reportedTerm = term
+		eventBecameLeader.Log("shard", s.id, "term", term)
+		s.host.notifier.enqueue(leadershipChange{shard: s.id, leading: true, term: term})
 	}
 }
 
-// serving reports whether the replica leads and all that was committed before
-// is applied here.
-func (s *shard) serving() bool { return s.replica.Serving() && s.jobs.idle() }
+// isServing reports whether the replica leads and all previously committed
+// entries are applied here.
+func (s *shard) isServing() bool { return s.replica.Serving() && s.jobs.isCaughtUp() }
 
-func (s *shard) publish() {
+func (s *shard) publishStatus() {
 	role, term, leader, commit, _ := s.replica.BasicStatus()
 	s.status.Store(&Status{
-		Shard: s.id, Role: role, Term: term, Leader: leader.Node, Serving: s.serving(),
-		Members: s.replica.Members(), MembershipIndex: s.replica.MembershipIndex(), CommitIndex: commit, AppliedIndex: s.applied, RemovalPending: s.replica.Leaving(),
+		Shard: s.id, Role: role, Term: term, Leader: leader.Node, Serving: s.isServing(),
+		Members: s.replica.Members(), MembershipIndex: s.replica.MembershipIndex(), CommitIndex: commit, AppliedIndex: s.appliedIndex, RemovalPending: s.replica.Leaving(),
 		LeaderSearch: s.replica.LeaderSearch(),
 	})
 }
 
 func (s *shard) needsTicks() bool {
-	return !s.dropped && (s.replica.NeedsTicks() || len(s.ensuring) > 0)
+	return !s.stopped && (s.replica.NeedsTicks() || len(s.ensureLeaderWaiters) > 0)
 }
 
 func (s *shard) tick() {
-	if s.dropped {
+	if s.stopped {
 		return
 	}
 	s.replica.Tick()
-	for _, waiting := range s.ensuring {
-		waiting.ticks++
+	for _, w := range s.ensureLeaderWaiters {
+		w.waitedTicks++
 	}
 }
 
-func (s *shard) reconcile(wanted []Member) {
-	s.wanted = wanted
-	s.refreshSuspicion()
-	s.replica.SetDesiredVoters(wanted)
+func (s *shard) setDesiredMembers(desired []Member) {
+	s.desiredMembers = desired
+	s.setSuspectedMembers()
+	s.replica.SetDesiredVoters(desired)
 }
 
-// leave drops the replica of a group that goes on without it.
-func (s *shard) leave() {
-	eventRemoved.Log("shard", s.id)
+// removeFromGroup stops the replica after its group removed it, and stores its
+// tombstone.
+func (s *shard) removeFromGroup() {
+	eventReplicaRemoved.Log("shard", s.id)
 	tombstone := s.replica.Tombstone()
-	s.publish()
-	s.drop(s.notLeader())
-	s.host.dropShard(s, tombstone)
-	if s.host.store != nil {
-		s.host.store.write(ShardWrite{Shard: s.id, State: tombstone, Remove: true}, nil)
+	s.publishStatus()
+	s.stop(s.notLeaderError())
+	s.host.removeShard(s, tombstone)
+	if s.host.writer != nil {
+		s.host.writer.enqueue(ShardWrite{Shard: s.id, State: tombstone, Remove: true}, nil)
 	}
 }
 
-// refused drops a replica whose state machine no longer follows the log. It
-// must neither serve nor vote, and keeps its identity so that it is not begun
-// again with an empty log.
-func (s *shard) refused(cause error) {
-	eventSnapshotBad.Log("shard", s.id, "cause", cause.Error())
+// dropRejected stops a replica whose state machine rejected committed data. The
+// replica must neither serve nor vote. Its tombstone remains, so that it is not
+// created again with an empty log.
+func (s *shard) dropRejected(cause error) {
+	eventStateMachineRejected.Log("shard", s.id, "cause", cause.Error())
 	tombstone := s.replica.Tombstone()
-	s.drop(s.notLeader())
-	s.host.dropShard(s, tombstone)
+	s.stop(s.notLeaderError())
+	s.host.removeShard(s, tombstone)
 }
 
-// drop answers all who wait; the replica takes part in nothing any more.
-func (s *shard) drop(cause error) {
-	s.dropped = true
-	delete(s.worker.active, s)
-	refuse(s.queued, cause)
-	s.queued = nil
-	for _, waiting := range s.confirming {
-		waiting.finish(cause)
-	}
-	s.failWaiting(&failure.ProposalUnknown{Shard: uint32(s.id)}, cause)
-	s.confirming = nil
-	s.failEnsuring(0, cause)
-	if s.servingTerm != 0 {
-		s.host.notices.notify(leadershipNotice{shard: s.id, term: s.servingTerm})
-		s.servingTerm = 0
+// stop fails all waiting requests. The replica processes nothing afterwards.
+func (s *shard) stop(cause error) {
+	s.stopped = true
+	delete(s.worker.ticking, s)
+	failProposals(s.queuedProposals, cause)
+	s.queuedProposals = nil
+	for _, w := range s.queuedConfirmations {
+		w.complete(cause)
+	}
+	s.failPending(&failure.ProposalUnknown{Shard: uint32(s.id)}, cause)
+	s.queuedConfirmations = nil
+	s.failEnsureLeader(0, cause)
+	if s.reportedTerm != 0 {
+		s.host.notifier.enqueue(leadershipChange{shard: s.id, term: s.reportedTerm})
+		s.reportedTerm = 0
 	}
 }
--- a/internal/replication/storage.go
+++ b/internal/replication/storage.go
@@ -10,24 +10,25 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Storage keeps what members must not forget.
+// Storage persists the state of replicas.
 type Storage interface {
-	// Load returns all shards.
+	// Load returns the state of all shards.
 	Load() (map[structs.ShardID]StoredShard, error)
-	// ShardWrite stores all writes in their order, or none; they are durable when it
-	// returns nil.
+	// Write stores all writes in order, or none of them. They are durable
+	// when it returns nil.
 	Write(writes []ShardWrite) error
 	Close() error
 }
 
-// StoredShard is what a storage holds of one shard.
+// StoredShard is the stored state of one shard.
 type StoredShard struct {
 	State    *journalv1.State
 	Snapshot journal.Snapshot
 	Entries  []*journalv1.Entry
 }
 
-// RestoredReplica returns it in the form that a replica goes on from.
+// RestoredReplica returns the stored state in the form from which a replica is
+// restored.
 func (s StoredShard) RestoredReplica() journal.InitialState {
 	return journal.InitialState{
 		State: s.State, Index: s.Snapshot.Index, Term: s.Snapshot.Term,
@@ -35,52 +36,55 @@
 	}
 }
 
-// ShardWrite is a change of one shard.
+// ShardWrite is a change to the stored state of one shard.
 type ShardWrite struct {
 	Shard structs.ShardID
-	// Remove drops all but State, which is the tombstone.
+	// Remove deletes everything except State, which is the tombstone.
 	Remove bool
 	State  *journalv1.State
-	// Snapshot replaces what is stored; with KeepLaterEntries only up to its index.
+	// Snapshot replaces the stored snapshot and all entries, or, with
+	// KeepLaterEntries, only the entries up to its index.
 	Snapshot         *journal.Snapshot
 	KeepLaterEntries bool
-	// Entries replace stored entries from the first one's index on.
+	// Entries replace the stored entries from the index of the first one on.
 	Entries []*journalv1.Entry
 }
 
-func (w *ShardWrite) empty() bool {
+func (w *ShardWrite) isEmpty() bool {
 	return !w.Remove && w.State == nil && w.Snapshot == nil && len(w.Entries) == 0
 }
 
-// writer is the one goroutine that writes: all that waits for it becomes one
-// durable write.
-type writer struct {
-	storage Storage
-	failed  func(*failure.DiskFailed)
-	mutex   sync.Mutex
-	queue   []queuedWrite
-	wake    chan struct{}
-	closing chan struct{}
+// storageWriter writes to the storage from one goroutine. It combines all queued
+// writes into one durable write.
+type storageWriter struct {
+	storage   Storage
+	onFailure func(*failure.DiskFailed)
+	mutex     sync.Mutex
+	queue     []queuedWrite
+	wake      chan struct{}
+	closing   chan struct{}
 }
 
+// queuedWrite is a write that waits for the storage.
 type queuedWrite struct {
-	write ShardWrite
-	done  func()
+	write     ShardWrite
+	onDurable func()
 }
 
-func newWriter(storage Storage, failed func(*failure.DiskFailed)) *writer {
-	return &writer{storage: storage, failed: failed, wake: make(chan struct{}, 1), closing: make(chan struct{})}
+func newStorageWriter(storage Storage, onFailure func(*failure.DiskFailed)) *storageWriter {
+	return &storageWriter{storage: storage, onFailure: onFailure, wake: make(chan struct{}, 1), closing: make(chan struct{})}
 }
 
-// write queues a write; done, if not nil, is called once it is durable.
-func (w *writer) write(write ShardWrite, done func()) {
+// enqueue queues a write. onDurable, if not nil, is called when the write is
+// durable.
+func (w *storageWriter) enqueue(write ShardWrite, onDurable func()) {
 	w.mutex.Lock()
-	w.queue = append(w.queue, queuedWrite{write: write, done: done})
+	w.queue = append(w.queue, queuedWrite{write: write, onDurable: onDurable})
 	w.mutex.Unlock()
 	signal(w.wake)
 }
 
-func (w *writer) run() {
+func (w *storageWriter) run() {
 	for {
 		select {
 		case <-w.closing:
@@ -93,38 +97,39 @@
 	}
 }
 
-// writeQueued reports false after a failure: nothing is written any more.
-func (w *writer) writeQueued() bool {
+// writeQueued writes the queue. It returns false after a failure, after which
+// nothing more is written.
+func (w *storageWriter) writeQueued() bool {
 	w.mutex.Lock()
 	queue := w.queue
 	w.queue = nil
 	w.mutex.Unlock()
 	writes := make([]ShardWrite, 0, len(queue))
 	for _, item := range queue {
-		if !item.write.empty() {
+		if !item.write.isEmpty() {
 			writes = append(writes, item.write)
 		}
 	}
 	if len(writes) > 0 {
 		if err := w.storage.Write(writes); err != nil {
-			w.failed(asDiskFailed(err))
+			w.onFailure(asDiskFailed(err))
 			return false
 		}
 	}
 	for _, item := range queue {
-		if item.done != nil {
-			item.done()
+		if item.onDurable != nil {
+			item.onDurable()
 		}
 	}
 	return true
 }
 
-func (w *writer) stop() { close(w.closing) }
+func (w *storageWriter) stop() { close(w.closing) }
 
 func asDiskFailed(err error) *failure.DiskFailed {
-	var known *failure.DiskFailed
-	if errors.As(err, &known) {
-		return known
+	var diskFailed *failure.DiskFailed
+	if errors.As(err, &diskFailed) {
+		return diskFailed
 	}
 	return &failure.DiskFailed{Cause: err}
 }
--- a/internal/replication/suspicion.go
+++ b/internal/replication/suspicion.go
@@ -10,66 +10,67 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// nodesInterval is how often the view of the cluster is looked at for nodes
-// that are suspected or alive again.
-const nodesInterval = 200 * time.Millisecond
-
-// flagLifetime is how long SuspectNode counts. A node that is gone is by then
-// suspected in the view; one that is not must not be left out for ever, since
-// it is heard only when it is sent something.
-const flagLifetime = 2 * time.Second
-
-// suspects holds the nodes that SuspectNode named and that were not heard
-// since, and the last view of the cluster.
-type suspects struct {
-	flagged sync.Map // structs.NodeID -> flag
-	count   atomic.Int64
-	view    atomic.Pointer[map[structs.NodeID]structs.Node]
-	// first and seen tell whether a view is the one looked at last.
-	first *structs.Node
-	seen  int
+// nodesPollInterval is how often the view of the cluster is polled for nodes that
+// became suspected or recovered.
+const nodesPollInterval = 200 * time.Millisecond
+
+// suspicionTTL is how long a suspicion reported through SuspectNode lasts. The
+// cluster view shows a failed node as suspected by then. The suspicion of a live
+// node must expire, because only a batch from that node clears it earlier, and
+// a suspected node may be sent nothing that it would answer.
+const suspicionTTL = 2 * time.Second
+
+// suspicionTracker holds the nodes reported through SuspectNode from which nothing
+// was received since, and the latest view of the cluster.
+type suspicionTracker struct {
+	reported      sync.Map // structs.NodeID -> suspicion
+	reportedCount atomic.Int64
+	nodes         atomic.Pointer[map[structs.NodeID]structs.Node]
+	// lastFirstNode and lastNodeCount identify the slice that updateNodes
+	// processed last.
+	lastFirstNode *structs.Node
+	lastNodeCount int
 }
 
-// flag is a suspicion of one life of a node.
-type flag struct {
-	since time.Time
-	// incarnation is that of the suspected life, or 0 where it is not known.
+// suspicion is a report that one incarnation of a node is suspected.
+type suspicion struct {
+	reportedAt time.Time
+	// incarnation is the suspected incarnation, or 0 if it is not known.
 	incarnation structs.Incarnation
 }
 
-// heard takes back a suspicion, and reports whether there was one: the node
-// has sent something.
-func (s *suspects) heard(from journal.MemberID) bool {
-	if s.count.Load() == 0 {
+// clear removes the suspicion of a node from which a batch was received. It
+// reports whether there was one.
+func (s *suspicionTracker) clear(from journal.MemberID) bool {
+	if s.reportedCount.Load() == 0 {
 		return false
 	}
-	_, was := s.flagged.LoadAndDelete(from.Node)
-	if was {
-		s.count.Add(-1)
+	_, existed := s.reported.LoadAndDelete(from.Node)
+	if existed {
+		s.reportedCount.Add(-1)
 	}
-	return was
+	return existed
 }
 
-func (s *suspects) flag(id structs.NodeID) {
-	raised := flag{since: time.Now()}
-	if view := s.view.Load(); view != nil {
-		raised.incarnation = (*view)[id].Incarnation
+func (s *suspicionTracker) add(id structs.NodeID) {
+	reported := suspicion{reportedAt: time.Now()}
+	if view := s.nodes.Load(); view != nil {
+		reported.incarnation = (*view)[id].Incarnation
 	}
-	if _, was := s.flagged.Swap(id, raised); !was {
-		s.count.Add(1)
+	if _, existed := s.reported.Swap(id, reported); !existed {
+		s.reportedCount.Add(1)
 	}
 }
 
-// expire takes back suspicions that are too old, and reports whether there
-// were any.
-func (s *suspects) expire(now time.Time) bool {
+// removeExpired removes expired suspicions and reports whether there were any.
+func (s *suspicionTracker) removeExpired(now time.Time) bool {
 	expired := false
-	if s.count.Load() == 0 {
+	if s.reportedCount.Load() == 0 {
 		return expired
 	}
-	s.flagged.Range(func(id, raised any) bool {
-		if now.Sub(raised.(flag).since) >= flagLifetime && s.flagged.CompareAndDelete(id, raised) {
-			s.count.Add(-1)
+	s.reported.Range(func(id, reported any) bool {
+		if now.Sub(reported.(suspicion).reportedAt) >= suspicionTTL && s.reported.CompareAndDelete(id, reported) {
+			s.reportedCount.Add(-1)
 			expired = true
 		}
 		return true
@@ -77,21 +78,22 @@
 	return expired
 }
 
-func (s *suspects) flaggedLife(member Member) bool {
-	raised, flagged := s.flagged.Load(member.Node)
-	if !flagged {
+func (s *suspicionTracker) isReported(member Member) bool {
+	reported, exists := s.reported.Load(member.Node)
+	if !exists {
 		return false
 	}
-	known := raised.(flag).incarnation
-	return known == 0 || member.Incarnation <= known
+	incarnation := reported.(suspicion).incarnation
+	return incarnation == 0 || member.Incarnation <= incarnation
 }
 
-// suspected reports whether the member is held to be gone.
-func (s *suspects) suspected(member Member) bool {
-	if s.flaggedLife(member) {
+// isSuspected reports whether the member is suspected. That includes a member
+// that is missing from the view or that the view lists with a later incarnation.
+func (s *suspicionTracker) isSuspected(member Member) bool {
+	if s.isReported(member) {
 		return true
 	}
-	view := s.view.Load()
+	view := s.nodes.Load()
 	if view == nil || len(*view) == 0 {
 		return false
 	}
@@ -102,21 +104,22 @@
 	return node.State == structs.NodeSuspect || node.State == structs.NodeDead
 }
 
-// update takes a view and reports whether a node's state or life changed. A
-// view that is the very one seen before costs nothing.
-func (s *suspects) update(nodes []structs.Node) bool {
-	if len(nodes) > 0 && len(nodes) == s.seen && &nodes[0] == s.first {
+// updateNodes replaces the view of the cluster and reports whether the state or
+// incarnation of a node changed. It returns immediately if nodes is the slice of
+// the previous call.
+func (s *suspicionTracker) updateNodes(nodes []structs.Node) bool {
+	if len(nodes) > 0 && len(nodes) == s.lastNodeCount && &nodes[0] == s.lastFirstNode {
 		return false
 	}
-	s.seen, s.first = len(nodes), nil
+	s.lastNodeCount, s.lastFirstNode = len(nodes), nil
 	if len(nodes) > 0 {
-		s.first = &nodes[0]
+		s.lastFirstNode = &nodes[0]
 	}
 	next := make(map[structs.NodeID]structs.Node, len(nodes))
 	changed := false
 	var previous map[structs.NodeID]structs.Node
-	if held := s.view.Load(); held != nil {
-		previous = *held
+	if current := s.nodes.Load(); current != nil {
+		previous = *current
 	}
 	for _, node := range nodes {
 		next[node.ID] = node
@@ -126,31 +129,31 @@
 		}
 	}
 	changed = changed || len(next) != len(previous)
-	s.view.Store(&next)
+	s.nodes.Store(&next)
 	return changed
 }
 
-// SuspectNode tells the host that the failure detector suspects a node. The
-// suspicion lasts until the node is heard here again, and at most 2 s beyond
-// what the view of the cluster says.
+// SuspectNode reports that the failure detector suspects a node. The suspicion
+// lasts until a batch is received from the node, and expires after 2 s unless
+// the cluster view shows the node as suspected.
 func (h *Host) SuspectNode(id structs.NodeID) {
-	h.suspects.flag(id)
+	h.suspicions.add(id)
 	h.refreshSuspicions()
 }
 
 func (h *Host) refreshSuspicions() {
 	for _, w := range h.workers {
-		w.post(&inputRefresh{})
+		w.enqueue(&refreshSuspicionsItem{})
 	}
 }
 
-// watchNodes looks at the view now and then.
-func (h *Host) watchNodes() {
-	ticker := time.NewTicker(nodesInterval)
+// pollNodes regularly updates the view and removes expired suspicions.
+func (h *Host) pollNodes() {
+	ticker := time.NewTicker(nodesPollInterval)
 	defer ticker.Stop()
 	for {
-		expired := h.suspects.expire(time.Now())
-		changed := h.options.Nodes != nil && h.suspects.update(h.options.Nodes())
+		expired := h.suspicions.removeExpired(time.Now())
+		changed := h.options.Nodes != nil && h.suspicions.updateNodes(h.options.Nodes())
 		if changed || expired {
 			h.refreshSuspicions()
 		}
@@ -162,13 +165,13 @@
 	}
 }
 
-// refreshSuspicion tells the replica what is held of its present and wanted
-// members.
-func (s *shard) refreshSuspicion() {
-	s.membersIndex = s.replica.MembershipIndex()
-	for _, member := range slices.Concat(s.replica.Members(), s.wanted) {
+// setSuspectedMembers tells the replica which current and desired members are
+// suspected.
+func (s *shard) setSuspectedMembers() {
+	s.suspicionMembershipIndex = s.replica.MembershipIndex()
+	for _, member := range slices.Concat(s.replica.Members(), s.desiredMembers) {
 		if member.ID().WithoutAdmission() != s.host.self {
-			s.replica.SetSuspected(member.ID(), s.host.suspects.suspected(member))
+			s.replica.SetSuspected(member.ID(), s.host.suspicions.isSuspected(member))
 		}
 	}
 }
--- a/internal/replication/waiter.go
+++ b/internal/replication/waiter.go
@@ -8,39 +8,41 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// States of a waiter: a request is either taken into the log or withdrawn.
+// States of a waiter. A request is either accepted into the log or cancelled by
+// its caller.
 const (
 	waiterQueued int32 = iota
-	waiterTaken
-	waiterWithdrawn
+	waiterAccepted
+	waiterCancelled
 )
 
-// waiter connects a caller with its request at a worker.
+// waiter passes the result of a request from a worker to the waiting caller.
 type waiter struct {
 	state  atomic.Int32
 	result chan error
-	// leader is set before the result of EnsureLeader.
+	// leader is set before the result of EnsureLeader is sent.
 	leader structs.NodeID
-	// ticks counts how long EnsureLeader has waited.
-	ticks int
+	// waitedTicks is how long EnsureLeader has waited.
+	waitedTicks int
 }
 
 func newWaiter() *waiter { return &waiter{result: make(chan error, 1)} }
 
-// take reports whether the caller still waits; it can no longer withdraw.
-func (w *waiter) take() bool { return w.state.CompareAndSwap(waiterQueued, waiterTaken) }
+// accept reports whether the caller still waits. The request can no longer be
+// cancelled after that.
+func (w *waiter) accept() bool { return w.state.CompareAndSwap(waiterQueued, waiterAccepted) }
 
-// finish gives the result; only the first one counts.
-func (w *waiter) finish(err error) {
+// complete sets the result. Only the first call has an effect.
+func (w *waiter) complete(err error) {
 	select {
 	case w.result <- err:
 	default:
 	}
 }
 
-// wait returns the result, or a failure that says whether the request was
-// taken when the context or the host ended.
-func (w *waiter) wait(ctx context.Context, h *Host, id structs.ShardID) error {
+// await returns the result. If the context or the host ends first, it returns an
+// error that says whether the request had been accepted.
+func (w *waiter) await(ctx context.Context, h *Host, id structs.ShardID) error {
 	select {
 	case err := <-w.result:
 		return err
@@ -52,7 +54,7 @@
 		return err
 	default:
 	}
-	if w.state.CompareAndSwap(waiterQueued, waiterWithdrawn) {
+	if w.state.CompareAndSwap(waiterQueued, waiterCancelled) {
 		return &failure.ShardUnavailable{Shard: uint32(id)}
 	}
 	return &failure.ProposalUnknown{Shard: uint32(id)}
--- a/internal/replication/worker.go
+++ b/internal/replication/worker.go
@@ -10,42 +10,42 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// maxBatchBytes bounds the payload of one batch, beyond its first message.
+// maxBatchBytes bounds the payload of a batch of more than one message.
 const maxBatchBytes = 1 << 20
 
-// input is one thing for a worker to do.
-type input interface{ run(w *worker) }
+// workItem is a unit of work for a worker.
+type workItem interface{ run(w *worker) }
 
 // worker owns the replicas of some shards.
 type worker struct {
 	host  *Host
 	mutex sync.Mutex
-	inbox []input
+	inbox []workItem
 	wake  chan struct{}
-	// touched are the shards with something to process; active those that need
-	// ticks. Both belong to the worker's goroutine.
-	touched map[*shard]bool
-	active  map[*shard]bool
-	// outbox holds messages by the receiver's life.
+	// dirty holds the shards that must be processed, ticking those that need
+	// ticks. Only the worker's goroutine uses them.
+	dirty   map[*shard]bool
+	ticking map[*shard]bool
+	// outbox holds unsent messages by the incarnation of the receiver.
 	outbox map[journal.MemberID][]*journalv1.Message
 }
 
 func newWorker(h *Host, _ uint64) *worker {
 	return &worker{
 		host: h, wake: make(chan struct{}, 1),
-		touched: map[*shard]bool{}, active: map[*shard]bool{},
+		dirty: map[*shard]bool{}, ticking: map[*shard]bool{},
 		outbox: map[journal.MemberID][]*journalv1.Message{},
 	}
 }
 
-func (w *worker) post(item input) {
+func (w *worker) enqueue(item workItem) {
 	w.mutex.Lock()
 	w.inbox = append(w.inbox, item)
 	w.mutex.Unlock()
 	signal(w.wake)
 }
 
-func (w *worker) take() []input {
+func (w *worker) takeInbox() []workItem {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	items := w.inbox
@@ -53,68 +53,69 @@
 	return items
 }
 
-// run handles inputs until the host closes. The timer runs only while a shard
-// has something outstanding.
+// run processes work items until the host closes. The timer runs only while a
+// shard needs ticks.
 func (w *worker) run() {
 	timer := time.NewTimer(w.host.options.TickInterval)
 	defer timer.Stop()
-	ticking := true
+	timerRunning := true
 	for {
 		select {
 		case <-w.host.closing:
 			return
 		case <-w.wake:
 		case <-timer.C:
-			ticking = false
+			timerRunning = false
 			w.tick()
 		}
-		for _, item := range w.take() {
+		for _, item := range w.takeInbox() {
 			item.run(w)
 		}
-		w.process()
-		if len(w.active) > 0 && !ticking {
+		w.processDirtyShards()
+		if len(w.ticking) > 0 && !timerRunning {
 			timer.Reset(w.host.options.TickInterval)
-			ticking = true
+			timerRunning = true
 		}
 	}
 }
 
 func (w *worker) tick() {
-	for found := range w.active {
-		found.tick()
-		w.touched[found] = true
+	for s := range w.ticking {
+		s.tick()
+		w.dirty[s] = true
 	}
 }
 
-// process lets every touched shard do what it has to, and sends what came of
-// it. Shards go in the order of their numbers, so that a run can be repeated.
-func (w *worker) process() {
-	touched := make([]*shard, 0, len(w.touched))
-	for found := range w.touched {
-		touched = append(touched, found)
-	}
-	clear(w.touched)
-	slices.SortFunc(touched, func(a, b *shard) int { return int(a.id) - int(b.id) })
-	for _, found := range touched {
-		found.process()
-		if found.needsTicks() {
-			w.active[found] = true
+// processDirtyShards processes the dirty shards and sends the resulting messages.
+// The shards are processed in the order of their IDs to make runs repeatable.
+func (w *worker) processDirtyShards() {
+	dirty := make([]*shard, 0, len(w.dirty))
+	for s := range w.dirty {
+		dirty = append(dirty, s)
+	}
+	clear(w.dirty)
+	slices.SortFunc(dirty, func(a, b *shard) int { return int(a.id) - int(b.id) })
+	for _, s := range dirty {
+		s.process()
+		if s.needsTicks() {
+			w.ticking[s] = true
 		} else {
-			delete(w.active, found)
+			delete(w.ticking, s)
 		}
 	}
-	w.flush()
+	w.flushOutbox()
 }
 
-func (w *worker) send(envelopes []journal.Envelope) {
+func (w *worker) queueMessages(envelopes []journal.Envelope) {
 	for _, envelope := range envelopes {
 		to := envelope.To.WithoutAdmission()
 		w.outbox[to] = append(w.outbox[to], envelope.Message)
 	}
 }
 
-// flush sends what is in the outbox, one batch to each peer unless it is large.
-func (w *worker) flush() {
+// flushOutbox sends the messages in the outbox, in one batch per peer unless it
+// would exceed maxBatchBytes.
+func (w *worker) flushOutbox() {
 	for to, messages := range w.outbox {
 		delete(w.outbox, to)
 		w.sendBatches(to, messages)
@@ -153,7 +154,8 @@
 	return size
 }
 
-// Receive takes a batch from a peer. A batch for another incarnation is dropped.
+// Receive processes a batch from a peer. It drops a batch for another
+// incarnation of this daemon.
 func (h *Host) Receive(batch *journalv1.Batch) {
 	if batch.ToIncarnation != uint64(h.self.Incarnation) {
 		return
@@ -161,15 +163,15 @@
 	from := journal.MemberID{
 		Node: structs.NodeID(batch.FromNode), Incarnation: structs.Incarnation(batch.FromIncarnation),
 	}
-	if h.suspects.heard(from) {
+	if h.suspicions.clear(from) {
 		h.refreshSuspicions()
 	}
-	parts := make(map[*worker][]*journalv1.Message, 1)
+	messagesByWorker := make(map[*worker][]*journalv1.Message, 1)
 	for _, message := range batch.Messages {
 		owner := h.workers[int(message.Shard)%len(h.workers)]
-		parts[owner] = append(parts[owner], message)
+		messagesByWorker[owner] = append(messagesByWorker[owner], message)
 	}
-	for owner, messages := range parts {
-		owner.post(&inputMessages{from: from, messages: messages})
+	for owner, messages := range messagesByWorker {
+		owner.enqueue(&messagesItem{from: from, messages: messages})
 	}
 }
