--- a/internal/estimate/latency.go
+++ b/internal/estimate/latency.go
@@ -1,4 +1,4 @@
-// Package estimate learns what is usual of a measured time. It does no I/O and
+// Package estimate estimates the normal range of latencies from samples. It does no I/O and
 // reads no clock.
 package estimate
 
@@ -7,61 +7,63 @@
 	"time"
 )
 
-// The weights of a new sample in the mean and in the deviation, and how many
-// deviations beyond the mean are no longer usual: as for the retransmission timer
-// of TCP (RFC 6298), with a wider margin because a wrong guess costs a whole turn,
-// or more load where there is too much.
+// The weights are those of the TCP retransmission timer (RFC 6298). The upper bound is more
+// deviations from the mean than there, because a timeout that is too short costs a whole turn,
+// or adds load to an overloaded system.
 const (
+	// meanWeight and deviationWeight are the weights of a new sample in the moving averages.
 	meanWeight      = 1.0 / 8
 	deviationWeight = 1.0 / 4
-	deviations      = 8
-	// typicalDeviations are those within which most samples lie, for decisions where
-	// too long costs as much as too short.
+	// upperBoundDeviations is the distance of the upper bound from the mean, in deviations.
+	upperBoundDeviations = 8
+	// typicalDeviations is the distance from the mean within which most samples lie, in
+	// deviations, for decisions where too long costs as much as too short.
 	typicalDeviations = 2
 )
 
-// Latency learns the mean and the deviation of a time. Its zero value knows
-// nothing. It is safe for concurrent use.
+// Latency estimates the mean and the deviation of a latency with moving averages. The zero
+// value has no samples. It is safe for concurrent use.
 type Latency struct {
 	mutex           sync.Mutex
-	known           bool
+	observed        bool
 	mean, deviation time.Duration
 }
 
-// Observe takes how long something has taken, also where it was given up then.
-func (l *Latency) Observe(took time.Duration) {
+// Observe adds a sample. For an operation that was abandoned, it is the time until then.
+func (l *Latency) Observe(latency time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if !l.known {
-		l.known, l.mean, l.deviation = true, took, took/2
+	if !l.observed {
+		l.observed, l.mean, l.deviation = true, latency, latency/2
 		return
 	}
-	off := (took - l.mean).Abs()
-	l.deviation += time.Duration(deviationWeight * float64(off-l.deviation))
-	l.mean += time.Duration(meanWeight * float64(took-l.mean))
+	difference := (latency - l.mean).Abs()
+	l.deviation += time.Duration(deviationWeight * float64(difference-l.deviation))
+	l.mean += time.Duration(meanWeight * float64(latency-l.mean))
 }
 
-// UpperBound returns the longest time that is still usual, and least where nothing, or
-// less, is known. It grows when everything gets slower.
-func (l *Latency) UpperBound(least time.Duration) time.Duration {
+// UpperBound returns the longest latency that still counts as normal, and at least minimum. It
+// grows when all operations become slower.
+func (l *Latency) UpperBound(minimum time.Duration) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return max(least, l.mean+deviations*l.deviation)
+	return max(minimum, l.mean+upperBoundDeviations*l.deviation)
 }
 
-// SetInitial sets what is typical before anything was observed: a mean of half of it, whose
-// first deviation is half of the mean.
+// SetInitial sets the value that Typical returns before the first sample. It must be called
+// before Observe: it adds half of typical as the first sample, whose deviation is half of that
+// again.
 func (l *Latency) SetInitial(typical time.Duration) { l.Observe(typical / 2) }
 
-// Typical returns the time that most have taken, the mean and two deviations; 0 where
-// nothing is known.
+// Typical returns the latency that most operations stay below, the mean plus two deviations;
+// 0 without samples.
 func (l *Latency) Typical() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.mean + typicalDeviations*l.deviation
 }
 
-// Mean returns the mean of what was observed; 0 where nothing is known.
+// Mean returns the moving average of the samples; 0 without samples.
 func (l *Latency) Mean() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/estimate/latency_test.go
+++ b/internal/estimate/latency_test.go
@@ -8,29 +8,29 @@
 )
 
 func TestUpperBoundGrowsWithObservedLatency(t *testing.T) {
-	const least = 300 * time.Millisecond
+	const minimum = 300 * time.Millisecond
 	latency := &Latency{}
-	require.Equal(t, least, latency.UpperBound(least))
+	require.Equal(t, minimum, latency.UpperBound(minimum))
 	for range 50 {
 		latency.Observe(20 * time.Millisecond)
 	}
-	require.Equal(t, least, latency.UpperBound(least))
+	require.Equal(t, minimum, latency.UpperBound(minimum))
 	for range 50 {
 		latency.Observe(500 * time.Millisecond)
 		latency.Observe(900 * time.Millisecond)
 	}
-	require.Greater(t, latency.UpperBound(least), 1500*time.Millisecond, "it grows when all take longer")
+	require.Greater(t, latency.UpperBound(minimum), 1500*time.Millisecond, "the bound grows when all operations become slower")
 }
 
 func TestUpperBoundToleratesFewOutliers(t *testing.T) {
-	const least = 100 * time.Millisecond
+	const minimum = 100 * time.Millisecond
 	latency := &Latency{}
 	for i := range 200 {
-		took := 20 * time.Millisecond
+		sample := 20 * time.Millisecond
 		if i%30 == 0 {
-			took = latency.UpperBound(least)
+			sample = latency.UpperBound(minimum)
 		}
-		latency.Observe(took)
-		require.Less(t, latency.UpperBound(least), time.Second)
+		latency.Observe(sample)
+		require.Less(t, latency.UpperBound(minimum), time.Second)
 	}
 }
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,87 +1,88 @@
-// Package mechanism names the parts of the roles that can be switched off by a setting,
-// so that an experiment can measure what each is worth. Nothing is switched off in
-// operation.
+// Package mechanism names the mechanisms that a setting can disable, so that experiments can
+// measure the effect of each. In production all are enabled, except the optional ones.
 package mechanism
 
 import "slices"
 
-// Name is a part that can be switched off.
+// Name identifies a mechanism.
 type Name string
 
-// The parts.
+// The mechanisms.
 const (
 	// Affinity sends the turns of a program to the worker that its hash ranks first.
 	Affinity Name = "affinity"
-	// PaceBalancing passes over workers that answer much more slowly than the others.
+	// PaceBalancing avoids workers that respond much more slowly than the others.
 	PaceBalancing Name = "paces"
-	// Ejection passes over workers whose attempts fail.
+	// Ejection avoids workers whose attempts fail.
 	Ejection Name = "ejection"
-	// RetryBudget bounds the repeats of safe requests by the successes.
+	// RetryBudget limits retries of safe requests to a share of the successful requests.
 	RetryBudget Name = "retryBudget"
-	// UnlistedWorkers uses workers that are no longer listed where no other is left.
+	// UnlistedWorkers uses workers that are no longer listed if no other worker is left.
 	UnlistedWorkers Name = "lapsedWorkers"
-	// ResumeAtSameWorker takes a broken stream up at its worker first.
+	// ResumeAtSameWorker resumes a broken stream at its worker before trying another one.
 	ResumeAtSameWorker Name = "resumeAtSameWorker"
-	// TurnCache remembers kept turns in the gateway.
+	// TurnCache caches stored turns in the gateway.
 	TurnCache Name = "keptChains"
-	// ReplicaUpdates learns workers and groups from replicas, not from the store.
+	// ReplicaUpdates receives workers and groups from replicas instead of the store.
 	ReplicaUpdates Name = "newsThroughReplicas"
-	// Forwarding calls replicas through other gateways.
+	// Forwarding reaches replicas through other gateways.
 	Forwarding Name = "forwarding"
-	// OneRoundReservations grants a reservation after one round where that is proof enough.
+	// OneRoundReservations grants a reservation after one quorum round if that round is
+	// sufficient proof.
 	OneRoundReservations Name = "oneRound"
-	// DeferredSettlements writes settlements with later reservations.
+	// DeferredSettlements writes settlements together with later reservations.
 	DeferredSettlements Name = "deferredSettlements"
-	// RequestQueueing lets requests wait for the first list of workers and for room.
+	// RequestQueueing queues requests until the first list of workers arrives, and while all
+	// workers are full.
 	RequestQueueing Name = "heldRequests"
-	// SilentStreamTimeout gives streams up whose worker stays silent for long.
+	// SilentStreamTimeout abandons streams whose worker sends nothing for a long time.
 	SilentStreamTimeout Name = "silentStreams"
-	// SpentTokenCache remembers what programs have used.
+	// SpentTokenCache caches how much of their budgets programs have spent.
 	SpentTokenCache Name = "spentMemory"
-	// LocalWorkers prefers workers of the own zone where there are many.
+	// LocalWorkers prefers workers of the gateway's own zone if it has many.
 	LocalWorkers Name = "nearWorkers"
-	// SharedWorkerReports passes over workers that the gateways of a zone together found slow
-	// or failing.
+	// SharedWorkerReports avoids workers that the gateways of a zone together report as slow or
+	// failing.
 	SharedWorkerReports Name = "sharedSight"
-	// LimitedWatchers lets a few replicas of each zone follow the store for all.
+	// LimitedWatchers lets a few replicas of each zone watch the store on behalf of all.
 	LimitedWatchers Name = "fewWatchers"
-	// GrantPrefetch asks for as many requests as are expected; without it for those alone
-	// that wait.
+	// GrantPrefetch requests quota grants for as many requests as are expected. Without it,
+	// grants are requested for waiting requests only.
 	GrantPrefetch Name = "grantsAhead"
-	// UnreachableZones passes over workers of zones that are not reached, and takes a gateway out
-	// whose own zone is cut off.
+	// UnreachableZones avoids workers of unreachable zones, and takes a gateway out of service
+	// when its own zone is partitioned from the others.
 	UnreachableZones Name = "lostZones"
-	// RegionPreference prefers workers, replicas and forwarders of the own region.
+	// RegionPreference prefers workers, replicas and forwarding gateways of the own region.
 	RegionPreference Name = "distance"
-	// BudgetLoans lends a part of a program's budget to a replica of the zone that the
-	// program is under way in.
+	// BudgetLoans lends a part of a program's budget to a replica in the zone that currently
+	// serves the program.
 	BudgetLoans Name = "lentBudgets"
-	// ColdWorkerGrants asks for a pass before a request goes to a cold worker.
+	// ColdWorkerGrants requests a grant before a request is sent to a cold worker.
 	ColdWorkerGrants Name = "coldGrants"
-	// ReadAhead takes answers off their workers while clients pause.
+	// ReadAhead reads answers from workers ahead of clients that have paused reading.
 	ReadAhead Name = "readAhead"
 	// WorkerSubsets chooses from a subset of each zone's workers first.
 	WorkerSubsets Name = "subsets"
 )
 
-// All are the parts, in the order of the page.
+// All lists all mechanisms, in the order of their documentation.
 var All = []Name{
 	Affinity, PaceBalancing, Ejection, RetryBudget, UnlistedWorkers, ResumeAtSameWorker, TurnCache, ReplicaUpdates, Forwarding,
 	OneRoundReservations, DeferredSettlements, RequestQueueing, SilentStreamTimeout, SpentTokenCache, LocalWorkers, SharedWorkerReports, LimitedWatchers,
 	GrantPrefetch, UnreachableZones, RegionPreference, BudgetLoans, ColdWorkerGrants, ReadAhead, WorkerSubsets,
 }
 
-// Optional are the parts that are left out unless they are asked for.
+// Optional lists the mechanisms that are disabled unless a setting enables them.
 var Optional = []Name{BudgetLoans}
 
-// Disabled are the parts that are switched off.
+// Disabled lists the mechanisms that a setting disables.
 type Disabled []Name
 
-// Has reports whether a part is switched off.
+// Has reports whether a mechanism is disabled.
 func (d Disabled) Has(name Name) bool { return slices.Contains(d, name) }
 
-// Enabled are the optional parts that are switched on.
+// Enabled lists the optional mechanisms that a setting enables.
 type Enabled []Name
 
-// Has reports whether an optional part is switched on.
+// Has reports whether an optional mechanism is enabled.
 func (e Enabled) Has(name Name) bool { return slices.Contains(e, name) }
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,6 +1,6 @@
-// Package traffic counts the bytes that a process exchanges with others, by how far those
-// are and what for: ways between regions are slow and paid for. Bodies are counted, not
-// heads.
+// Package traffic counts the bytes that a process exchanges with other processes, by distance
+// and cause, because links between regions are slow and billed. It counts message bodies, not
+// headers.
 package traffic
 
 import (
@@ -12,26 +12,26 @@
 	"github.com/barleyshelf/barleyshelf/internal/telemetry"
 )
 
-// Cause is what bytes are exchanged for.
+// Cause is the purpose of a transfer.
 type Cause uint8
 
 // The causes.
 const (
 	// Prompts are the bodies of requests to workers.
 	Prompts Cause = iota
-	// Answers are the bodies of workers' answers.
+	// Answers are the response bodies of workers.
 	Answers
-	// Records are calls about kept turns, budgets and limits, and their answers.
+	// Records are calls about stored turns, budgets and limits, and their responses.
 	Records
-	// Directory are questions for workers, groups and configurations, and their answers.
+	// Directory are queries for workers, groups and configurations, and their responses.
 	Directory
 
-	causes
+	causeCount
 )
 
-var causeNames = [causes]string{"prompts", "answers", "records", "news"}
+var causeNames = [causeCount]string{"prompts", "answers", "records", "news"}
 
-// String returns the cause's name in metrics.
+// String returns the name of the cause in metrics.
 func (c Cause) String() string { return causeNames[c] }
 
 var metricBytes = telemetry.Define(telemetry.Definition{
@@ -39,47 +39,49 @@
 	Help: "Bytes of bodies exchanged with workers and replicas, both ways, by how far they are and what for.",
 })
 
-// Counters are the bytes of a process. Its nil value counts nothing.
-type Counters struct{ byCause [][causes]prometheus.Counter }
+// Counters counts the bytes that a process exchanges. A nil *Counters counts nothing.
+type Counters struct {
+	byClassAndCause [][causeCount]prometheus.Counter
+}
 
-// New returns counters in a registry.
+// New returns counters that are registered with registry.
 func New(registry *telemetry.Registry) *Counters {
-	vector := registry.Counter(metricBytes)
-	counted := &Counters{byCause: make([][causes]prometheus.Counter, len(distance.Classes))}
+	counterVector := registry.Counter(metricBytes)
+	counters := &Counters{byClassAndCause: make([][causeCount]prometheus.Counter, len(distance.Classes))}
 	for _, class := range distance.Classes {
-		for cause := range causes {
-			counted.byCause[class][cause] = vector.WithLabelValues(class.String(), cause.String())
+		for cause := range causeCount {
+			counters.byClassAndCause[class][cause] = counterVector.WithLabelValues(class.String(), cause.String())
 		}
 	}
-	return counted
+	return counters
 }
 
-// Add counts bytes.
+// Add adds bytes to the counter of a class and a cause.
 func (c *Counters) Add(class distance.Class, cause Cause, bytes int) {
 	if c != nil && bytes > 0 {
-		c.byCause[class][cause].Add(float64(bytes))
+		c.byClassAndCause[class][cause].Add(float64(bytes))
 	}
 }
 
-// Adder counts bytes; *Counted is one.
+// Adder counts bytes. *Counters implements it.
 type Adder interface {
 	Add(class distance.Class, cause Cause, bytes int)
 }
 
-// NewCountingReader returns a reader that counts what is read of another.
-func NewCountingReader(counted Adder, from io.Reader, class distance.Class, cause Cause) io.Reader {
-	return &reader{counted: counted, from: from, class: class, cause: cause}
+// NewCountingReader returns a reader that reads from source and counts the bytes with adder.
+func NewCountingReader(adder Adder, source io.Reader, class distance.Class, cause Cause) io.Reader {
+	return &countingReader{adder: adder, source: source, class: class, cause: cause}
 }
 
-type reader struct {
-	counted Adder
-	from    io.Reader
-	class   distance.Class
-	cause   Cause
+type countingReader struct {
+	adder  Adder
+	source io.Reader
+	class  distance.Class
+	cause  Cause
 }
 
-func (r *reader) Read(data []byte) (int, error) {
-	n, err := r.from.Read(data)
-	r.counted.Add(r.class, r.cause, n)
+func (r *countingReader) Read(data []byte) (int, error) {
+	n, err := r.source.Read(data)
+	r.adder.Add(r.class, r.cause, n)
 	return n, err
 }
