--- a/internal/recordlog/files.go
+++ b/internal/recordlog/file_system.go
@@ -7,13 +7,13 @@
 	"path/filepath"
 )
 
-// Reader is a segment that is open for reading.
+// Reader reads a segment file.
 type Reader interface {
 	io.ReaderAt
 	io.Closer
 }
 
-// File is a segment that is open for appending.
+// File is a segment file that is open for reading and appending.
 type File interface {
 	Reader
 	io.Writer
@@ -22,7 +22,7 @@
 	Seek(offset int64, whence int) (int64, error)
 }
 
-// FileSystem is the data folder. Tests replace it by a faulty one.
+// FileSystem is access to the files of the data directory. Tests use one that fails.
 type FileSystem interface {
 	// List returns the names of all files.
 	List() ([]string, error)
@@ -30,22 +30,22 @@
 	Read(name string) ([]byte, error)
 	// OpenReader opens a file for reading.
 	OpenReader(name string) (Reader, error)
-	// Create makes a new file and makes its name last.
+	// Create creates a new file; its directory entry survives a power loss.
 	Create(name string) (File, error)
-	// OpenAppend opens a file for appending at an offset, and cuts it there.
+	// OpenAppend truncates a file to offset and opens it for appending.
 	OpenAppend(name string, offset int64) (File, error)
 	// Remove removes a file.
 	Remove(name string) error
 }
 
-// Directory is a folder of the operating system.
+// Directory is a FileSystem on a directory of the operating system.
 type Directory string
 
 const filePermission = 0o600
 
 // List returns the names of all files.
-func (f Directory) List() ([]string, error) {
-	entries, err := os.ReadDir(string(f))
+func (d Directory) List() ([]string, error) {
+	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, err
 	}
@@ -57,31 +57,31 @@
 }
 
 // Read returns a whole file.
-func (f Directory) Read(name string) ([]byte, error) {
-	return os.ReadFile(filepath.Join(string(f), name))
+func (d Directory) Read(name string) ([]byte, error) {
+	return os.ReadFile(filepath.Join(string(d), name))
 }
 
 // OpenReader opens a file for reading.
-func (f Directory) OpenReader(name string) (Reader, error) {
-	return os.Open(filepath.Join(string(f), name))
+func (d Directory) OpenReader(name string) (Reader, error) {
+	return os.Open(filepath.Join(string(d), name))
 }
 
-// Create makes a new file and syncs the folder. Where that fails, no file stays.
-func (f Directory) Create(name string) (File, error) {
-	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_CREATE|os.O_EXCL|os.O_RDWR, filePermission)
+// Create creates a new file and syncs the directory. It removes the file if the sync fails.
+func (d Directory) Create(name string) (File, error) {
+	file, err := os.OpenFile(filepath.Join(string(d), name), os.O_CREATE|os.O_EXCL|os.O_RDWR, filePermission)
 	if err != nil {
 		return nil, err
 	}
-	if err := f.sync(); err != nil {
+	if err := d.syncDirectory(); err != nil {
 		file.Close()
-		return nil, errors.Join(err, f.Remove(name))
+		return nil, errors.Join(err, d.Remove(name))
 	}
 	return file, nil
 }
 
-// OpenAppend opens a file for appending at an offset, and cuts it there.
-func (f Directory) OpenAppend(name string, offset int64) (File, error) {
-	file, err := os.OpenFile(filepath.Join(string(f), name), os.O_RDWR, filePermission)
+// OpenAppend truncates a file to offset and opens it for appending.
+func (d Directory) OpenAppend(name string, offset int64) (File, error) {
+	file, err := os.OpenFile(filepath.Join(string(d), name), os.O_RDWR, filePermission)
 	if err != nil {
 		return nil, err
 	}
@@ -97,13 +97,13 @@
 }
 
 // Remove removes a file.
-func (f Directory) Remove(name string) error { return os.Remove(filepath.Join(string(f), name)) }
+func (d Directory) Remove(name string) error { return os.Remove(filepath.Join(string(d), name)) }
 
-func (f Directory) sync() error {
-	folder, err := os.Open(string(f))
+func (d Directory) syncDirectory() error {
+	directory, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer directory.Close()
+	return directory.Sync()
 }
--- a/internal/recordlog/log.go
+++ b/internal/recordlog/log.go
@@ -1,7 +1,7 @@
-// Package recordlog is an append-only log of records in segment files. Many
-// appends share one sync. An append has succeeded once its records are on the
-// disk; after a loss of power a torn end is cut, and damage before the end is
-// reported as *Damaged. Space is given back a segment at a time.
+// Package recordlog is an append-only log of records in segment files. Concurrent appends
+// share one sync. An append succeeds once its records are synced to disk. After a power loss
+// OpenAppend truncates a torn record at the end of the log; damage before the end is reported as
+// *Damaged. Disk space is freed by whole segments.
 package recordlog
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/barleyshelf/barleyshelf/internal/failure"
 )
 
-// maxBatchBytes bounds what one sync covers.
+// maxBatchBytes limits the size of a batch that is written and synced at once.
 const maxBatchBytes = 4 << 20
 
-// Damaged reports a record in the middle of the log that is not what was
-// written. What the folder holds must not be relied on.
+// Damaged reports a damaged record before the end of the log. The data directory must not be
+// used any longer.
 type Damaged struct {
-	// Segment and Offset are the place of the first bad frame.
+	// Segment and Offset locate the first damaged frame.
 	Segment string
 	Offset  int64
 }
@@ -35,12 +35,12 @@
 // Outcome returns NotRun.
 func (e *Damaged) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry forbids a repeat.
+// Retry forbids a retry.
 func (e *Damaged) Retry() failure.Retry { return failure.Retry{} }
 
-// WriteBacklog reports a log whose disk has not taken earlier appends.
+// WriteBacklog reports that earlier appends failed and are not on the disk yet.
 type WriteBacklog struct {
-	// Bytes are still to be written.
+	// Bytes is the size of the records that are not written yet.
 	Bytes int64
 }
 
@@ -54,34 +54,34 @@
 // Outcome returns NotRun.
 func (e *WriteBacklog) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry allows another try.
+// Retry allows a retry.
 func (e *WriteBacklog) Retry() failure.Retry { return failure.Retry{Allowed: true} }
 
 // Log is an open log. Its methods are safe for concurrent use.
 type Log struct {
-	files   FileSystem
-	readers readers
-
-	mutex   sync.Mutex
-	pending []*request
-	wake    *sync.Cond
-	closed  bool
-	done    chan struct{}
-	size    atomic.Int64
-	// oldest is the number of the oldest segment, current that of the one that
-	// takes appends.
-	oldest, current atomic.Uint64
-
-	// The fields below belong to the writing goroutine.
-	file     File
-	offset   int64
-	failed   error
-	segments []segment
-	// owed are appends that failed. Those who made them know the records, and may
-	// be asked for them again: the next write begins with them.
-	owed []*request
-	// owedBytes is the size of owed.
-	owedBytes atomic.Int64
+	fileSystem FileSystem
+	readers    segmentReaders
+
+	mutex          sync.Mutex
+	pending        []*appendRequest
+	pendingChanged *sync.Cond
+	closed         bool
+	writerDone     chan struct{}
+	size           atomic.Int64
+	// oldestSegment is the number of the oldest segment, currentSegment the number of the
+	// segment that receives appends.
+	oldestSegment, currentSegment atomic.Uint64
+
+	// The fields below are owned by the writer goroutine, except unwrittenBytes.
+	currentFile      File
+	endOffset        int64
+	permanentFailure error
+	segments         []segment
+	// unwritten are appends that failed. Their callers already hold the records in memory and
+	// may serve them, so the next batch writes them first.
+	unwritten []*appendRequest
+	// unwrittenBytes is the size of unwritten.
+	unwrittenBytes atomic.Int64
 }
 
 type segment struct {
@@ -89,28 +89,28 @@
 	bytes  int64
 }
 
-type request struct {
+type appendRequest struct {
 	frames []byte
-	// lengths are those of the records in frames.
-	lengths []int
-	// replaced is the segment that the frames replace; 0 is none.
-	replaced uint64
-	// placed is told where the records lie, once they are on the disk.
-	placed func([]Position)
-	done   chan error
-}
-
-// OpenAppend reads the log and passes its records on, oldest first. take must not keep
-// a record; an error of its own ends the reading.
-func Open(files FileSystem, take func(record []byte, at Position) error) (*Log, error) {
-	numbers, err := segmentNumbers(files)
+	// recordLengths are the lengths of the records in frames.
+	recordLengths []int
+	// replacedSegment is the number of the segment that the frames replace; 0 means none.
+	replacedSegment uint64
+	// onWritten receives the positions of the records once they are on the disk.
+	onWritten func([]Position)
+	done      chan error
+}
+
+// OpenAppend opens the log and calls visit for each record, oldest first. visit must not retain the
+// record. If visit returns an error, Open stops and returns it.
+func Open(fileSystem FileSystem, visit func(record []byte, position Position) error) (*Log, error) {
+	numbers, err := segmentNumbers(fileSystem)
 	if err != nil {
 		return nil, err
 	}
-	log := &Log{files: files, done: make(chan struct{}), readers: readers{open: make(map[uint64]Reader)}}
-	log.wake = sync.NewCond(&log.mutex)
+	log := &Log{fileSystem: fileSystem, writerDone: make(chan struct{}), readers: segmentReaders{bySegment: make(map[uint64]Reader)}}
+	log.pendingChanged = sync.NewCond(&log.mutex)
 	for i, number := range numbers {
-		bytes, err := readSegment(files, number, i == len(numbers)-1, take)
+		bytes, err := readSegment(fileSystem, number, i == len(numbers)-1, visit)
 		if err != nil {
 			return nil, err
 		}
@@ -121,7 +121,7 @@
 		log.readers.closeAll()
 		return nil, &failure.DiskFailed{Cause: err}
 	}
-	go log.write()
+	go log.runWriter()
 	return log, nil
 }
 
@@ -132,115 +132,113 @@
 	}
 	last := len(l.segments) - 1
 	for _, each := range l.segments[:last] {
-		reader, err := l.files.OpenReader(segmentName(each.number))
+		reader, err := l.fileSystem.OpenReader(segmentName(each.number))
 		if err != nil {
 			return err
 		}
 		l.readers.add(each.number, reader)
 	}
-	file, err := l.files.OpenAppend(segmentName(l.segments[last].number), l.segments[last].bytes)
+	file, err := l.fileSystem.OpenAppend(segmentName(l.segments[last].number), l.segments[last].bytes)
 	if err != nil {
 		return err
 	}
-	l.file, l.offset = file, l.segments[last].bytes
+	l.currentFile, l.endOffset = file, l.segments[last].bytes
 	l.readers.add(l.segments[last].number, file)
-	l.publish()
+	l.publishSegmentRange()
 	return file.Sync()
 }
 
-// publish tells readers which segments there are.
-func (l *Log) publish() {
-	l.oldest.Store(l.segments[0].number)
-	l.current.Store(l.segments[len(l.segments)-1].number)
+// publishSegmentRange updates the segment numbers that other goroutines read.
+func (l *Log) publishSegmentRange() {
+	l.oldestSegment.Store(l.segments[0].number)
+	l.currentSegment.Store(l.segments[len(l.segments)-1].number)
 }
 
-// rotate begins a new segment. The current one is synced already; it stays open
-// for reading.
+// rotate starts a new segment. The previous one is already synced and stays open for reading.
 func (l *Log) rotate() error {
 	number := uint64(1)
 	if len(l.segments) > 0 {
 		number = l.segments[len(l.segments)-1].number + 1
 	}
 	name := segmentName(number)
-	file, err := l.files.Create(name)
+	file, err := l.fileSystem.Create(name)
 	if err != nil {
 		return err
 	}
 	if err := file.Sync(); err != nil {
 		file.Close()
-		// A file that stayed would keep every later try from making it.
-		return errors.Join(err, l.files.Remove(name))
+		// If the file remained, every later attempt to create it would fail.
+		return errors.Join(err, l.fileSystem.Remove(name))
 	}
-	l.file, l.offset = file, 0
+	l.currentFile, l.endOffset = file, 0
 	l.segments = append(l.segments, segment{number: number})
 	l.readers.add(number, file)
-	l.publish()
+	l.publishSegmentRange()
 	return nil
 }
 
-// Append writes records and returns once they are on the disk. Without records
-// it waits for all earlier appends.
+// Append writes records and returns once they are on the disk. Without records it waits until
+// all earlier appends are on the disk.
 func (l *Log) Append(records ...[]byte) error { return l.Enqueue(nil, records...)() }
 
-// Enqueue hands over records in the order of the calls. The function that it
-// returns waits until they, and all earlier ones, are on the disk. placed, which
-// may be nil, is told where they lie before that; where the write fails, it is
-// told when a later one has taken them along.
-func (l *Log) Enqueue(placed func([]Position), records ...[]byte) (wait func() error) {
-	return l.enqueue(&request{placed: placed}, records)
+// Enqueue queues records for writing, in the order of the calls. The returned function waits
+// until they and all earlier records are on the disk. onWritten, which may be nil, receives
+// their positions before that function returns. If the write fails, onWritten is called after a
+// later batch has written the records.
+func (l *Log) Enqueue(onWritten func([]Position), records ...[]byte) (wait func() error) {
+	return l.enqueue(&appendRequest{onWritten: onWritten}, records)
 }
 
-// ReplaceSegment hands over records in place of a whole segment, which is removed once
-// they are on the disk. A failed one is not made up for.
-func (l *Log) ReplaceSegment(segment uint64, placed func([]Position), records ...[]byte) (wait func() error) {
-	return l.enqueue(&request{placed: placed, replaced: segment}, records)
+// ReplaceSegment queues records that replace a whole segment. The segment is removed once they
+// are on the disk. A failed replacement is not retried.
+func (l *Log) ReplaceSegment(segment uint64, onWritten func([]Position), records ...[]byte) (wait func() error) {
+	return l.enqueue(&appendRequest{onWritten: onWritten, replacedSegment: segment}, records)
 }
 
-// UnwrittenBytes returns the bytes of failed appends that are still to be written.
-func (l *Log) UnwrittenBytes() int64 { return l.owedBytes.Load() }
+// UnwrittenBytes returns the size of the failed appends that are not on the disk yet.
+func (l *Log) UnwrittenBytes() int64 { return l.unwrittenBytes.Load() }
 
-// Read returns the record at a place. It fails with *Moved where the segment has
-// been replaced.
-func (l *Log) Read(at Position) ([]byte, error) {
-	records, err := l.readers.readSpan([]Position{at})
+// Read returns the record at a position. It returns *Moved if the segment has been replaced.
+func (l *Log) Read(position Position) ([]byte, error) {
+	records, err := l.readers.readSpan([]Position{position})
 	if err != nil {
 		return nil, err
 	}
 	return records[0], nil
 }
 
-// ReadAll returns the records at places, with few reads where they lie close to
-// each other in the order given. It fails with *Moved where one of their segments
-// has been replaced.
-func (l *Log) ReadAll(places []Position) ([][]byte, error) { return l.readers.readAll(places) }
+// ReadAll returns the records at the positions, in the order given. Successive positions that
+// are close together share one read. It returns *Moved if one of the segments has been
+// replaced.
+func (l *Log) ReadAll(positions []Position) ([][]byte, error) { return l.readers.readAll(positions) }
 
-// Size returns the bytes that the log takes on the disk.
+// Size returns the size of the log on disk, in bytes.
 func (l *Log) Size() int64 { return l.size.Load() }
 
 // OldestSegment returns the number of the oldest segment.
-func (l *Log) OldestSegment() uint64 { return l.oldest.Load() }
+func (l *Log) OldestSegment() uint64 { return l.oldestSegment.Load() }
 
-func (l *Log) enqueue(one *request, records [][]byte) (wait func() error) {
-	one.done = make(chan error, 1)
+func (l *Log) enqueue(request *appendRequest, records [][]byte) (wait func() error) {
+	request.done = make(chan error, 1)
 	for _, record := range records {
-		one.frames = frame(one.frames, record)
-		one.lengths = append(one.lengths, len(record))
+		request.frames = appendFrame(request.frames, record)
+		request.recordLengths = append(request.recordLengths, len(record))
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closed {
 		return func() error { return &failure.DiskFailed{Cause: io.ErrClosedPipe} }
 	}
-	l.pending = append(l.pending, one)
-	l.wake.Signal()
-	return func() error { return <-one.done }
+	l.pending = append(l.pending, request)
+	l.pendingChanged.Signal()
+	return func() error { return <-request.done }
 }
 
-// Close writes what is pending and closes the log.
+// Close writes pending appends and closes the log.
 func (l *Log) Close() {
 	l.mutex.Lock()
 	l.closed = true
-	l.wake.Signal()
+	l.pendingChanged.Signal()
 	l.mutex.Unlock()
-	<-l.done
+	<-l.writerDone
 }
--- a/internal/recordlog/log_test.go
+++ b/internal/recordlog/log_test.go
@@ -14,27 +14,29 @@
 	"github.com/barleyshelf/barleyshelf/internal/recordlog/recordlogtest"
 )
 
-func record(n int) []byte { return fmt.Appendf(nil, "record-%d-%s", n, "some payload that is longer") }
+func testRecord(n int) []byte {
+	return fmt.Appendf(nil, "record-%d-%s", n, "some payload that is longer")
+}
 
-// open opens a log and returns copies of its records.
-func open(files recordlog.FileSystem) (*recordlog.Log, [][]byte, error) {
+// openLog opens a log and returns copies of its records.
+func openLog(fileSystem recordlog.FileSystem) (*recordlog.Log, [][]byte, error) {
 	var records [][]byte
-	log, err := recordlog.Open(files, func(record []byte, _ recordlog.Position) error {
+	log, err := recordlog.Open(fileSystem, func(record []byte, _ recordlog.Position) error {
 		records = append(records, append([]byte(nil), record...))
 		return nil
 	})
 	return log, records, err
 }
 
-// survives appends records over several losses of power and reports the first
-// acknowledged one that is gone, or "".
-func survives(t require.TestingT, seed uint64, skipSync bool) string {
+// firstRecordLostToPowerLoss appends records across several power losses and returns the first
+// acknowledged record that was lost, or "".
+func firstRecordLostToPowerLoss(t require.TestingT, seed uint64, skipSync bool) string {
 	random := rand.New(rand.NewPCG(seed, 1))
-	store := recordlogtest.NewDisk()
-	store.SkipSync = skipSync
+	disk := recordlogtest.NewDisk()
+	disk.SkipSync = skipSync
 	var acknowledged []string
 	for round := range 4 {
-		log, records, err := open(store)
+		log, records, err := openLog(disk)
 		require.NoError(t, err)
 		found := map[string]bool{}
 		for _, each := range records {
@@ -46,110 +48,111 @@
 			}
 		}
 		for n := range random.IntN(12) {
-			data := record(100*round + n)
+			data := testRecord(100*round + n)
 			require.NoError(t, log.Append(data))
 			acknowledged = append(acknowledged, string(data))
 		}
-		// What is still on its way when the power goes may be there or not.
-		wait := log.Enqueue(nil, record(100*round+99))
-		after := store.AfterPowerLoss(random)
+		// A record that is not acknowledged at the power loss may be lost or kept.
+		wait := log.Enqueue(nil, testRecord(100*round+99))
+		after := disk.AfterPowerLoss(random)
 		_ = wait()
 		log.Close()
 		after.SkipSync = skipSync
-		store = after
+		disk = after
 	}
 	return ""
 }
 
 func TestAcknowledgedRecordsSurvivePowerLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		require.Empty(t, survives(t, rapid.Uint64().Draw(t, "seed"), false))
+		require.Empty(t, firstRecordLostToPowerLoss(t, rapid.Uint64().Draw(t, "seed"), false))
 	})
 }
 
-// TestSkippedSyncLosesAcknowledgedRecords is a deliberate breakage: the proof must catch it.
+// TestSkippedSyncLosesAcknowledgedRecords checks that the power loss test detects a log that
+// does not sync.
 func TestSkippedSyncLosesAcknowledgedRecords(t *testing.T) {
 	for seed := range uint64(50) {
-		if survives(t, seed, true) != "" {
+		if firstRecordLostToPowerLoss(t, seed, true) != "" {
 			return
 		}
 	}
-	t.Fatal("no lost record was noticed")
+	t.Fatal("no lost record was detected")
 }
 
 func TestOpenTruncatesTornTailAndAppends(t *testing.T) {
-	store := recordlogtest.NewDisk()
-	log, _, err := open(store)
+	disk := recordlogtest.NewDisk()
+	log, _, err := openLog(disk)
 	require.NoError(t, err)
-	require.NoError(t, log.Append(record(1), record(2)))
+	require.NoError(t, log.Append(testRecord(1), testRecord(2)))
 	log.Close()
-	store.AppendSynced("0000000000000001.log", []byte{9, 0, 0, 0, 1, 2, 3})
-	log, records, err := open(store)
+	disk.AppendSynced("0000000000000001.log", []byte{9, 0, 0, 0, 1, 2, 3})
+	log, records, err := openLog(disk)
 	require.NoError(t, err)
 	require.Len(t, records, 2)
-	require.NoError(t, log.Append(record(3)))
+	require.NoError(t, log.Append(testRecord(3)))
 	log.Close()
-	_, records, err = open(store)
+	_, records, err = openLog(disk)
 	require.NoError(t, err)
-	require.Equal(t, [][]byte{record(1), record(2), record(3)}, records)
+	require.Equal(t, [][]byte{testRecord(1), testRecord(2), testRecord(3)}, records)
 }
 
 func TestOpenRejectsDamageBeforeLastSegment(t *testing.T) {
-	store := recordlogtest.NewDisk()
-	log, _, err := open(store)
+	disk := recordlogtest.NewDisk()
+	log, _, err := openLog(disk)
 	require.NoError(t, err)
-	require.NoError(t, log.Append(record(1)))
+	require.NoError(t, log.Append(testRecord(1)))
 	log.Close()
-	store.AppendSynced("0000000000000002.log", nil)
-	store.FlipBit("0000000000000001.log", 12)
-	_, _, err = open(store)
+	disk.AppendSynced("0000000000000002.log", nil)
+	disk.FlipBit("0000000000000001.log", 12)
+	_, _, err = openLog(disk)
 	var damaged *recordlog.Damaged
 	require.ErrorAs(t, err, &damaged)
 	require.Equal(t, "0000000000000001.log", damaged.Segment)
 }
 
 func TestFullDiskFailsAppendsAndLosesNoRecord(t *testing.T) {
-	store := recordlogtest.NewDisk()
-	log, _, err := open(store)
+	disk := recordlogtest.NewDisk()
+	log, _, err := openLog(disk)
 	require.NoError(t, err)
-	require.NoError(t, log.Append(record(1)))
-	store.SetFreeBytes(10)
+	require.NoError(t, log.Append(testRecord(1)))
+	disk.SetFreeBytes(10)
 	var full *failure.DiskFailed
-	require.ErrorAs(t, log.Append(record(2)), &full)
+	require.ErrorAs(t, log.Append(testRecord(2)), &full)
 	require.ErrorIs(t, full, recordlogtest.ErrNoSpace)
-	store.SetFreeBytes(-1)
-	require.NoError(t, log.Append(record(3)), "room again")
+	disk.SetFreeBytes(-1)
+	require.NoError(t, log.Append(testRecord(3)), "the disk has free space again")
 	log.Close()
-	_, records, err := open(store)
+	_, records, err := openLog(disk)
 	require.NoError(t, err)
-	require.Equal(t, [][]byte{record(1), record(2), record(3)}, records, "no torn record between them")
+	require.Equal(t, [][]byte{testRecord(1), testRecord(2), testRecord(3)}, records, "no torn record between them")
 }
 
-// TestEmptyAppendFailsWhileEarlierRecordsAreUnwritten holds that nobody takes
-// a record for written whose own append has failed.
+// TestEmptyAppendFailsWhileEarlierRecordsAreUnwritten guards against reporting a record as
+// written after its own append failed.
 func TestEmptyAppendFailsWhileEarlierRecordsAreUnwritten(t *testing.T) {
-	store := recordlogtest.NewDisk()
-	log, _, err := open(store)
+	disk := recordlogtest.NewDisk()
+	log, _, err := openLog(disk)
 	require.NoError(t, err)
 	defer log.Close()
-	store.SetFreeBytes(10)
-	var told []recordlog.Position
-	require.Error(t, log.Enqueue(func(places []recordlog.Position) { told = places }, record(1))())
+	disk.SetFreeBytes(10)
+	var written []recordlog.Position
+	require.Error(t, log.Enqueue(func(positions []recordlog.Position) { written = positions }, testRecord(1))())
 	require.Error(t, log.Append())
 	require.Positive(t, log.UnwrittenBytes())
-	require.Empty(t, told)
-	store.SetFreeBytes(-1)
+	require.Empty(t, written)
+	disk.SetFreeBytes(-1)
 	require.NoError(t, log.Append())
 	require.Zero(t, log.UnwrittenBytes())
-	require.Len(t, told, 1)
-	found, err := log.Read(told[0])
+	require.Len(t, written, 1)
+	found, err := log.Read(written[0])
 	require.NoError(t, err)
-	require.Equal(t, record(1), found)
+	require.Equal(t, testRecord(1), found)
 }
 
 func TestAppendsKeepOrderAcrossSegments(t *testing.T) {
-	store := recordlogtest.NewDisk()
-	log, _, err := open(store)
+	disk := recordlogtest.NewDisk()
+	log, _, err := openLog(disk)
 	require.NoError(t, err)
 	big := make([]byte, 5<<20)
 	for n := range 5 {
@@ -157,10 +160,10 @@
 		require.NoError(t, log.Append(append([]byte(nil), big...)))
 	}
 	log.Close()
-	names, err := store.List()
+	names, err := disk.List()
 	require.NoError(t, err)
 	require.Greater(t, len(names), 1)
-	_, records, err := open(store)
+	_, records, err := openLog(disk)
 	require.NoError(t, err)
 	require.Len(t, records, 5)
 	for n, each := range records {
@@ -169,67 +172,67 @@
 }
 
 func TestReplaceSegmentFreesSpace(t *testing.T) {
-	store := recordlogtest.NewDisk()
-	log, _, err := open(store)
+	disk := recordlogtest.NewDisk()
+	log, _, err := openLog(disk)
 	require.NoError(t, err)
 	for n := range 20 {
-		require.NoError(t, log.Append(record(n)))
+		require.NoError(t, log.Append(testRecord(n)))
 	}
 	before := log.Size()
-	replaced := log.ReplaceSegment(log.OldestSegment(), nil, record(3))
-	after := log.Enqueue(nil, record(30))
+	replaced := log.ReplaceSegment(log.OldestSegment(), nil, testRecord(3))
+	after := log.Enqueue(nil, testRecord(30))
 	require.NoError(t, replaced())
 	require.NoError(t, after())
 	require.Less(t, log.Size(), before)
 	log.Close()
-	names, err := store.List()
+	names, err := disk.List()
 	require.NoError(t, err)
 	require.Len(t, names, 1)
-	_, records, err := open(store)
+	_, records, err := openLog(disk)
 	require.NoError(t, err)
-	require.Equal(t, [][]byte{record(3), record(30)}, records)
+	require.Equal(t, [][]byte{testRecord(3), testRecord(30)}, records)
 }
 
-// TestPowerLossDuringReplaceSegmentLosesNoRecord cuts the replacement at
-// every write.
+// TestPowerLossDuringReplaceSegmentLosesNoRecord simulates a power loss at an arbitrary point of
+// the replacement.
 func TestPowerLossDuringReplaceSegmentLosesNoRecord(t *testing.T) {
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		store := recordlogtest.NewDisk()
-		log, _, err := open(store)
+		disk := recordlogtest.NewDisk()
+		log, _, err := openLog(disk)
 		require.NoError(t, err)
-		require.NoError(t, log.Append(record(1), record(2)))
-		wait := log.ReplaceSegment(log.OldestSegment(), nil, record(1), record(2))
-		after := store.AfterPowerLoss(random)
+		require.NoError(t, log.Append(testRecord(1), testRecord(2)))
+		wait := log.ReplaceSegment(log.OldestSegment(), nil, testRecord(1), testRecord(2))
+		after := disk.AfterPowerLoss(random)
 		require.NoError(t, wait())
 		log.Close()
-		_, records, err := open(after)
+		_, records, err := openLog(after)
 		require.NoError(t, err)
 		found := map[string]bool{}
 		for _, each := range records {
 			found[string(each)] = true
 		}
-		require.True(t, found[string(record(1))] && found[string(record(2))])
+		require.True(t, found[string(testRecord(1))] && found[string(testRecord(2))])
 	}
 }
 
-// TestReadReturnsRecordsAtTheirPositions writes over several segments, replaces
-// the oldest and opens the log again.
+// TestReadReturnsRecordsAtTheirPositions writes several segments, replaces the oldest one and
+// reopens the log.
 func TestReadReturnsRecordsAtTheirPositions(t *testing.T) {
-	store := recordlogtest.NewDisk()
-	log, _, err := open(store)
+	disk := recordlogtest.NewDisk()
+	log, _, err := openLog(disk)
 	require.NoError(t, err)
-	places := map[int]recordlog.Position{}
+	positions := map[int]recordlog.Position{}
 	write := func(n int) {
-		data := append(record(n), make([]byte, 1<<20)...)
-		require.NoError(t, log.Enqueue(func(at []recordlog.Position) { places[n] = at[0] }, data)())
+		data := append(testRecord(n), make([]byte, 1<<20)...)
+		require.NoError(t, log.Enqueue(func(at []recordlog.Position) { positions[n] = at[0] }, data)())
 	}
 	for n := range 12 {
 		write(n)
 	}
 	first := log.OldestSegment()
 	require.NoError(t, log.ReplaceSegment(first, nil)())
-	for n, at := range places {
+	for n, at := range positions {
 		data, err := log.Read(at)
 		if at.Segment == first {
 			var moved *recordlog.Moved
@@ -237,44 +240,43 @@
 			continue
 		}
 		require.NoError(t, err)
-		require.Equal(t, record(n), data[:len(record(n))])
+		require.Equal(t, testRecord(n), data[:len(testRecord(n))])
 	}
 	log.Close()
-	again, err := recordlog.Open(store, func([]byte, recordlog.Position) error { return nil })
+	reopened, err := recordlog.Open(disk, func([]byte, recordlog.Position) error { return nil })
 	require.NoError(t, err)
-	defer again.Close()
-	data, err := again.Read(places[11])
+	defer reopened.Close()
+	data, err := reopened.Read(positions[11])
 	require.NoError(t, err)
-	require.Equal(t, record(11), data[:len(record(11))])
+	require.Equal(t, testRecord(11), data[:len(testRecord(11))])
 }
 
-// TestReadAllCombinesAdjacentRecords reads every second record, and records in
-// an order that is not theirs.
+// TestReadAllCombinesAdjacentRecords reads every second record, followed by records out of order.
 func TestReadAllCombinesAdjacentRecords(t *testing.T) {
-	store := recordlogtest.NewDisk()
-	log, _, err := open(store)
+	disk := recordlogtest.NewDisk()
+	log, _, err := openLog(disk)
 	require.NoError(t, err)
 	defer log.Close()
-	var places []recordlog.Position
+	var positions []recordlog.Position
 	for n := range 400 {
-		data := append(record(n), make([]byte, 20<<10)...)
-		require.NoError(t, log.Enqueue(func(at []recordlog.Position) { places = append(places, at...) }, data)())
+		data := append(testRecord(n), make([]byte, 20<<10)...)
+		require.NoError(t, log.Enqueue(func(at []recordlog.Position) { positions = append(positions, at...) }, data)())
 	}
-	var wanted []recordlog.Position
+	var requested []recordlog.Position
 	var numbers []int
-	for n := 0; n < len(places); n += 2 {
-		wanted, numbers = append(wanted, places[n]), append(numbers, n)
+	for n := 0; n < len(positions); n += 2 {
+		requested, numbers = append(requested, positions[n]), append(numbers, n)
 	}
 	for _, n := range []int{399, 3, 200} {
-		wanted, numbers = append(wanted, places[n]), append(numbers, n)
+		requested, numbers = append(requested, positions[n]), append(numbers, n)
 	}
-	before := store.ReadAtCount()
-	records, err := log.ReadAll(wanted)
+	before := disk.ReadAtCount()
+	records, err := log.ReadAll(requested)
 	require.NoError(t, err)
-	require.Less(t, store.ReadAtCount()-before, 20)
+	require.Less(t, disk.ReadAtCount()-before, 20)
 	require.Len(t, records, len(numbers))
 	for i, n := range numbers {
-		require.Equal(t, record(n), records[i][:len(record(n))])
+		require.Equal(t, testRecord(n), records[i][:len(testRecord(n))])
 	}
 	none, err := log.ReadAll(nil)
 	require.NoError(t, err)
@@ -282,27 +284,27 @@
 }
 
 func TestReadRejectsDamagedRecord(t *testing.T) {
-	store := recordlogtest.NewDisk()
-	log, _, err := open(store)
+	disk := recordlogtest.NewDisk()
+	log, _, err := openLog(disk)
 	require.NoError(t, err)
 	defer log.Close()
 	var at recordlog.Position
-	require.NoError(t, log.Enqueue(func(places []recordlog.Position) { at = places[0] }, record(1))())
-	store.FlipBit("0000000000000001.log", 12)
+	require.NoError(t, log.Enqueue(func(positions []recordlog.Position) { at = positions[0] }, testRecord(1))())
+	disk.FlipBit("0000000000000001.log", 12)
 	_, err = log.Read(at)
 	var damaged *recordlog.Damaged
 	require.ErrorAs(t, err, &damaged)
 }
 
 func TestAppendAfterCloseFails(t *testing.T) {
-	log, _, err := open(recordlogtest.NewDisk())
+	log, _, err := openLog(recordlogtest.NewDisk())
 	require.NoError(t, err)
 	log.Close()
-	require.ErrorIs(t, log.Append(record(1)), io.ErrClosedPipe)
+	require.ErrorIs(t, log.Append(testRecord(1)), io.ErrClosedPipe)
 }
 
 func BenchmarkAppend(b *testing.B) {
-	log, _, err := open(recordlog.Directory(b.TempDir()))
+	log, _, err := openLog(recordlog.Directory(b.TempDir()))
 	require.NoError(b, err)
 	defer log.Close()
 	data := make([]byte, 6<<10)
--- a/internal/recordlog/recordlogtest/disk.go
+++ b/internal/recordlog/recordlogtest/disk.go
@@ -1,5 +1,4 @@
-// Package recordlogtest has a disk in memory for tests, which loses what a loss
-// of power may lose.
+// Package recordlogtest provides an in-memory disk for tests that simulates power loss.
 package recordlogtest
 
 import (
@@ -14,19 +13,18 @@
 	"github.com/barleyshelf/barleyshelf/internal/recordlog"
 )
 
-// Disk is a folder in memory that loses what a loss of power may lose: writes
-// after the last sync of their file, each kept, torn or missing, and names whose
-// folder was not synced.
+// Disk is an in-memory recordlog.FileSystem that simulates power loss: of the bytes written
+// after the last sync of a file, an arbitrary prefix remains, which may be damaged.
 type Disk struct {
 	mutex sync.Mutex
 	files map[string]*diskFile
-	// room is the number of bytes that may still be written; -1 is no limit.
-	room int
-	// reads counts the reads of parts of files.
-	reads int
-	// syncTime is how long each sync takes.
-	syncTime time.Duration
-	// SkipSync leaves out every sync: a deliberate breakage.
+	// freeBytes is the number of bytes that can still be written; -1 means no limit.
+	freeBytes int
+	// readAtCount is the number of ReadAt calls.
+	readAtCount int
+	// syncDelay is how long each sync takes.
+	syncDelay time.Duration
+	// SkipSync makes every sync a no-op. Tests set it to check that they detect lost records.
 	SkipSync bool
 }
 
@@ -38,11 +36,11 @@
 	offset int64
 }
 
-// ErrNoSpace is what a full disk answers.
+// ErrNoSpace is the error of a write to a full disk.
 var ErrNoSpace = errors.New("no space left on the disk")
 
 // NewDisk returns an empty disk.
-func NewDisk() *Disk { return &Disk{files: map[string]*diskFile{}, room: -1} }
+func NewDisk() *Disk { return &Disk{files: map[string]*diskFile{}, freeBytes: -1} }
 
 // List returns the names of all files.
 func (d *Disk) List() ([]string, error) {
@@ -74,7 +72,7 @@
 	return file, nil
 }
 
-// Create makes a new file.
+// Create creates a new file.
 func (d *Disk) Create(name string) (recordlog.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -83,7 +81,7 @@
 	return file, nil
 }
 
-// OpenAppend opens a file for appending at an offset.
+// OpenAppend truncates a file to offset and opens it for appending.
 func (d *Disk) OpenAppend(name string, offset int64) (recordlog.File, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -104,17 +102,17 @@
 func (f *diskFile) Write(data []byte) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
-	taken := len(data)
-	if f.disk.room >= 0 {
-		taken = min(taken, f.disk.room)
-		f.disk.room -= taken
+	written := len(data)
+	if f.disk.freeBytes >= 0 {
+		written = min(written, f.disk.freeBytes)
+		f.disk.freeBytes -= written
 	}
-	f.data = append(f.data[:f.offset], data[:taken]...)
-	f.offset += int64(taken)
-	if taken < len(data) {
-		return taken, ErrNoSpace
+	f.data = append(f.data[:f.offset], data[:written]...)
+	f.offset += int64(written)
+	if written < len(data) {
+		return written, ErrNoSpace
 	}
-	return taken, nil
+	return written, nil
 }
 
 func (f *diskFile) Close() error { return nil }
@@ -122,7 +120,7 @@
 func (f *diskFile) ReadAt(data []byte, offset int64) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
-	f.disk.reads++
+	f.disk.readAtCount++
 	if offset >= int64(len(f.data)) {
 		return 0, io.EOF
 	}
@@ -135,9 +133,9 @@
 
 func (f *diskFile) Sync() error {
 	f.disk.mutex.Lock()
-	takes := f.disk.syncTime
+	delay := f.disk.syncDelay
 	f.disk.mutex.Unlock()
-	time.Sleep(takes)
+	time.Sleep(delay)
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
 	if !f.disk.SkipSync {
@@ -160,35 +158,36 @@
 	return offset, nil
 }
 
-// SetFreeBytes sets the number of bytes that may still be written; -1 is no limit.
+// SetFreeBytes sets the number of bytes that can still be written; -1 means no limit.
 func (d *Disk) SetFreeBytes(bytes int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.room = bytes
+	d.freeBytes = bytes
 }
 
 // SetSyncDelay sets how long each sync takes from now on.
-func (d *Disk) SetSyncDelay(takes time.Duration) {
+func (d *Disk) SetSyncDelay(delay time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.syncTime = takes
+	d.syncDelay = delay
 }
 
-// ReadAtCount returns how many reads of parts of files there were.
+// ReadAtCount returns the number of ReadAt calls so far.
 func (d *Disk) ReadAtCount() int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.reads
+	return d.readAtCount
 }
 
-// FlipBit changes one byte of a file.
+// FlipBit inverts the lowest bit of the byte at offset.
 func (d *Disk) FlipBit(name string, offset int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.files[name].data[offset] ^= 1
 }
 
-// AppendSynced puts bytes at the end of a file, which may be new.
+// AppendSynced appends bytes to a file and marks its whole content as synced. It creates the
+// file if it does not exist.
 func (d *Disk) AppendSynced(name string, data []byte) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -201,7 +200,7 @@
 	file.synced = append([]byte(nil), file.data...)
 }
 
-// AfterPowerLoss returns the disk as it is after a loss of power.
+// AfterPowerLoss returns a new disk with the content that remains after a power loss.
 func (d *Disk) AfterPowerLoss(random *rand.Rand) *Disk {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/recordlog/rotate_test.go
+++ b/internal/recordlog/rotate_test.go
@@ -11,52 +11,54 @@
 	"github.com/barleyshelf/barleyshelf/internal/recordlog/recordlogtest"
 )
 
-// refusingDisk makes new files whose first sync fails, and makes none that are there.
-type refusingDisk struct {
+// failingSyncDisk fails syncs of new files while failing is set. Like a real file system, its
+// Create rejects existing names.
+type failingSyncDisk struct {
 	*recordlogtest.Disk
-	refusing bool
+	failing bool
 }
 
-type refusingFile struct {
+type failingSyncFile struct {
 	recordlog.File
-	disk *refusingDisk
+	disk *failingSyncDisk
 }
 
-var errRefused = errors.New("the disk takes nothing")
+var errSyncFailed = errors.New("sync failed")
 
-func (f *refusingFile) Sync() error {
-	if f.disk.refusing {
-		return errRefused
+func (f *failingSyncFile) Sync() error {
+	if f.disk.failing {
+		return errSyncFailed
 	}
 	return f.File.Sync()
 }
 
-func (d *refusingDisk) Create(name string) (recordlog.File, error) {
+func (d *failingSyncDisk) Create(name string) (recordlog.File, error) {
 	names, err := d.List()
 	if err != nil {
 		return nil, err
 	}
-	for _, known := range names {
-		if known == name {
+	for _, existing := range names {
+		if existing == name {
 			return nil, os.ErrExist
 		}
 	}
 	file, err := d.Disk.Create(name)
-	return &refusingFile{File: file, disk: d}, err
+	return &failingSyncFile{File: file, disk: d}, err
 }
 
-// TestRotationIsRetriedAfterFailedSync: its file stayed, so that no later try could make it,
-// and a replica whose disk was full for a moment took no record until it was started again.
+// TestRotationIsRetriedAfterFailedSync guards against leaving the file of a new segment behind
+// when its sync fails. No later attempt could then create it, and a replica whose disk was
+// briefly full accepted no records until it was restarted.
 func TestRotationIsRetriedAfterFailedSync(t *testing.T) {
-	disk := &refusingDisk{Disk: recordlogtest.NewDisk()}
+	disk := &failingSyncDisk{Disk: recordlogtest.NewDisk()}
 	log, err := recordlog.Open(disk, func([]byte, recordlog.Position) error { return nil })
 	require.NoError(t, err)
 	defer log.Close()
 	// The first segment is full.
 	require.NoError(t, log.Append(make([]byte, 4<<20)))
-	disk.refusing = true
+	disk.failing = true
 	require.Error(t, log.Append([]byte("refused")))
-	disk.refusing = false
+	disk.failing = false
 	require.NoError(t, log.Append([]byte("taken")))
 	require.Zero(t, log.UnwrittenBytes())
 }
--- a/internal/recordlog/segments.go
+++ b/internal/recordlog/segments.go
@@ -13,39 +13,40 @@
 
 const (
 	segmentSuffix = ".log"
-	// headerBytes is a frame's length and checksum.
+	// headerBytes is the size of a frame's header: the record's length and checksum.
 	headerBytes = 8
-	// maxFrameBytes bounds a record; a longer length is damage.
+	// maxFrameBytes is the maximum length of a record; a longer length means that the frame is damaged.
 	maxFrameBytes = 64 << 20
-	// segmentBytes is the size after which a new segment begins. One segment is
-	// read into memory at a time when the log is opened.
+	// segmentBytes is the size after which a new segment starts. Opening the log reads one
+	// whole segment into memory at a time.
 	segmentBytes = 4 << 20
 )
 
-var checksums = crc32.MakeTable(crc32.Castagnoli)
+var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// Position is where a record lies in the log. The zero value is no place.
+// Position locates a record in the log. The zero value is no position.
 type Position struct {
-	// Segment is the number of the segment, from 1.
+	// Segment is the number of the segment, starting at 1.
 	Segment uint64
-	// Offset is that of the record's frame, in bytes.
+	// Offset is the offset of the record's frame in the segment, in bytes.
 	Offset int64
-	// Length is that of the record without its frame's header, in bytes.
+	// Length is the length of the record without its frame header, in bytes.
 	Length int
 }
 
-// IsZero reports whether p is no place.
+// IsZero reports whether p is no position.
 func (p Position) IsZero() bool { return p.Segment == 0 }
 
-// frame appends a record with its header.
-func frame(to, record []byte) []byte {
-	to = binary.LittleEndian.AppendUint32(to, uint32(len(record)))
-	to = binary.LittleEndian.AppendUint32(to, crc32.Checksum(record, checksums))
-	return append(to, record...)
+// appendFrame appends a record and its header to frames.
+func appendFrame(frames, record []byte) []byte {
+	frames = binary.LittleEndian.AppendUint32(frames, uint32(len(record)))
+	frames = binary.LittleEndian.AppendUint32(frames, crc32.Checksum(record, checksumTable))
+	return append(frames, record...)
 }
 
-// unframe returns the record of the frame at the start of data, if it is whole.
-func unframe(data []byte) (record []byte, whole bool) {
+// decodeFrame returns the record of the frame at the start of data. valid reports whether the
+// frame is complete and its checksum matches.
+func decodeFrame(data []byte) (record []byte, valid bool) {
 	if len(data) < headerBytes {
 		return nil, false
 	}
@@ -55,22 +56,22 @@
 		return nil, false
 	}
 	record = data[headerBytes : headerBytes+length]
-	return record, crc32.Checksum(record, checksums) == sum
+	return record, crc32.Checksum(record, checksumTable) == sum
 }
 
-// frames passes the records at the start of data on, with their offsets, and
-// returns the length of that good part.
-func frames(data []byte, take func(record []byte, offset int64) error) (int64, error) {
-	var good int64
+// scanFrames calls visit for each valid frame at the start of data, with its record and offset,
+// and returns the length of the valid part.
+func scanFrames(data []byte, visit func(record []byte, offset int64) error) (int64, error) {
+	var validBytes int64
 	for {
-		record, whole := unframe(data[good:])
-		if !whole {
-			return good, nil
+		record, valid := decodeFrame(data[validBytes:])
+		if !valid {
+			return validBytes, nil
 		}
-		if err := take(record, good); err != nil {
-			return good, err
+		if err := visit(record, validBytes); err != nil {
+			return validBytes, err
 		}
-		good += int64(headerBytes + len(record))
+		validBytes += int64(headerBytes + len(record))
 	}
 }
 
@@ -82,9 +83,9 @@
 	return number, err
 }
 
-// segmentNumbers returns the numbers of the segments in a folder, oldest first.
-func segmentNumbers(files FileSystem) ([]uint64, error) {
-	names, err := files.List()
+// segmentNumbers returns the numbers of all segments in the data directory, oldest first.
+func segmentNumbers(fileSystem FileSystem) ([]uint64, error) {
+	names, err := fileSystem.List()
 	if err != nil {
 		return nil, &failure.DiskFailed{Cause: err}
 	}
@@ -103,59 +104,59 @@
 	return numbers, nil
 }
 
-// readSegment passes the records of one segment on and returns the length of its
-// good part. Only the last segment may end torn: each other one was synced whole
-// before the next began.
-func readSegment(files FileSystem, number uint64, last bool, take func([]byte, Position) error) (int64, error) {
+// readSegment calls visit for each record of a segment and returns the length of its valid part.
+// Only the last segment may end with a torn frame: every other segment was completely synced
+// before the next one was created.
+func readSegment(fileSystem FileSystem, number uint64, last bool, visit func([]byte, Position) error) (int64, error) {
 	name := segmentName(number)
-	data, err := files.Read(name)
+	data, err := fileSystem.Read(name)
 	if err != nil {
 		return 0, &failure.DiskFailed{Cause: err}
 	}
-	good, err := frames(data, func(record []byte, offset int64) error {
-		return take(record, Position{Segment: number, Offset: offset, Length: len(record)})
+	validBytes, err := scanFrames(data, func(record []byte, offset int64) error {
+		return visit(record, Position{Segment: number, Offset: offset, Length: len(record)})
 	})
 	if err != nil {
 		return 0, err
 	}
-	if good < int64(len(data)) && !last {
-		return 0, &Damaged{Segment: name, Offset: good}
+	if validBytes < int64(len(data)) && !last {
+		return 0, &Damaged{Segment: name, Offset: validBytes}
 	}
-	return good, nil
+	return validBytes, nil
 }
 
-// readers are the segments that are open for reading, by number.
-type readers struct {
-	mutex sync.RWMutex
-	open  map[uint64]Reader
+// segmentReaders holds the readers of all open segments, by segment number.
+type segmentReaders struct {
+	mutex     sync.RWMutex
+	bySegment map[uint64]Reader
 }
 
-func (r *readers) add(number uint64, reader Reader) {
+func (r *segmentReaders) add(number uint64, reader Reader) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.open[number] = reader
+	r.bySegment[number] = reader
 }
 
-// remove closes a segment. A read that is under way fails.
-func (r *readers) remove(number uint64) {
+// remove closes the reader of a segment. Reads in progress fail.
+func (r *segmentReaders) remove(number uint64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if found := r.open[number]; found != nil {
+	if found := r.bySegment[number]; found != nil {
 		found.Close()
-		delete(r.open, number)
+		delete(r.bySegment, number)
 	}
 }
 
-func (r *readers) closeAll() {
+func (r *segmentReaders) closeAll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, reader := range r.open {
+	for _, reader := range r.bySegment {
 		reader.Close()
 	}
-	clear(r.open)
+	clear(r.bySegment)
 }
 
-// Moved reports a place whose segment is gone: the record lies elsewhere now, or
+// Moved reports a position whose segment was removed: the record has another position now, or
 // has expired.
 type Moved struct {
 	Position Position
@@ -171,81 +172,81 @@
 // Outcome returns NotRun.
 func (e *Moved) Outcome() failure.Outcome { return failure.NotRun }
 
-// Retry allows another try at the record's present place.
+// Retry allows a retry at the record's current position.
 func (e *Moved) Retry() failure.Retry { return failure.Retry{Allowed: true} }
 
-// readBytes reads length bytes from the beginning of a place on.
-func (r *readers) readBytes(at Position, length int64) ([]byte, error) {
-	reader := r.of(at.Segment)
+// readBytes reads length bytes starting at a position.
+func (r *segmentReaders) readBytes(position Position, length int64) ([]byte, error) {
+	reader := r.get(position.Segment)
 	if reader == nil {
-		return nil, &Moved{Position: at}
+		return nil, &Moved{Position: position}
 	}
 	data := make([]byte, length)
-	if _, err := reader.ReadAt(data, at.Offset); err != nil {
-		if r.of(at.Segment) == nil {
-			return nil, &Moved{Position: at}
+	if _, err := reader.ReadAt(data, position.Offset); err != nil {
+		if r.get(position.Segment) == nil {
+			return nil, &Moved{Position: position}
 		}
 		return nil, &failure.DiskFailed{Cause: err}
 	}
 	return data, nil
 }
 
-func (r *readers) of(segment uint64) Reader {
+func (r *segmentReaders) get(segment uint64) Reader {
 	r.mutex.RLock()
 	defer r.mutex.RUnlock()
-	return r.open[segment]
+	return r.bySegment[segment]
 }
 
 const (
-	// maxSpanBytes bounds one read, and maxGapBytes what is read between two
-	// records that nobody asked for.
+	// maxSpanBytes limits the size of one read. maxGapBytes limits the unrequested bytes between
+	// two records that share a read.
 	maxSpanBytes = 1 << 20
 	maxGapBytes  = 32 << 10
 )
 
-// readAll returns the records at places. Those that lie close to each other, in
-// the order given, come with one read: each read has its price on a disk.
-func (r *readers) readAll(places []Position) ([][]byte, error) {
-	records := make([][]byte, 0, len(places))
-	for len(places) > 0 {
-		count := spanLength(places)
-		found, err := r.readSpan(places[:count])
+// readAll returns the records at the positions, in the order given. Successive positions that
+// are close together share one read, because each read has a fixed cost on a disk.
+func (r *segmentReaders) readAll(positions []Position) ([][]byte, error) {
+	records := make([][]byte, 0, len(positions))
+	for len(positions) > 0 {
+		count := countInSpan(positions)
+		found, err := r.readSpan(positions[:count])
 		if err != nil {
 			return nil, err
 		}
-		records, places = append(records, found...), places[count:]
+		records, positions = append(records, found...), positions[count:]
 	}
 	return records, nil
 }
 
-// spanLength returns how many of the first places are read at once.
-func spanLength(places []Position) int {
-	first := places[0]
-	for i := 1; i < len(places); i++ {
-		before, next := places[i-1], places[i]
-		gap := next.Offset - before.end()
-		if next.Segment != first.Segment || gap < 0 || gap > maxGapBytes || next.end()-first.Offset > maxSpanBytes {
+// countInSpan returns how many of the leading positions share one read.
+func countInSpan(positions []Position) int {
+	first := positions[0]
+	for i := 1; i < len(positions); i++ {
+		previous, next := positions[i-1], positions[i]
+		gap := next.Offset - previous.endOffset()
+		if next.Segment != first.Segment || gap < 0 || gap > maxGapBytes || next.endOffset()-first.Offset > maxSpanBytes {
 			return i
 		}
 	}
-	return len(places)
+	return len(positions)
 }
 
-// end returns the offset after the record.
-func (p Position) end() int64 { return p.Offset + int64(headerBytes+p.Length) }
+// endOffset returns the offset of the first byte after the record.
+func (p Position) endOffset() int64 { return p.Offset + int64(headerBytes+p.Length) }
 
-// readSpan reads records of one segment with one read.
-func (r *readers) readSpan(places []Position) ([][]byte, error) {
-	first, last := places[0], places[len(places)-1]
-	data, err := r.readBytes(first, last.end()-first.Offset)
+// readSpan reads records of one segment with a single read.
+func (r *segmentReaders) readSpan(positions []Position) ([][]byte, error) {
+	first, last := positions[0], positions[len(positions)-1]
+	data, err := r.readBytes(first, last.endOffset()-first.Offset)
 	if err != nil {
 		return nil, err
 	}
-	records := make([][]byte, 0, len(places))
-	for _, at := range places {
-		record, whole := unframe(data[at.Offset-first.Offset : at.end()-first.Offset])
-		if !whole || len(record) != at.Length {
-			return nil, &Damaged{Segment: segmentName(at.Segment), Offset: at.Offset}
+	records := make([][]byte, 0, len(positions))
+	for _, position := range positions {
+		record, valid := decodeFrame(data[position.Offset-first.Offset : position.endOffset()-first.Offset])
+		if !valid || len(record) != position.Length {
+			return nil, &Damaged{Segment: segmentName(position.Segment), Offset: position.Offset}
 		}
 		records = append(records, record)
 	}
