--- a/internal/executor/cursor.go
+++ b/internal/executor/cursor.go
@@ -2,27 +2,27 @@
 
 import "github.com/barleyshelf/barleyshelf/internal/caller"
 
-// cursor is how far one reader has come in an answer. It survives a change of
-// the shard's leader: the reader goes on at the new leader from here.
+// cursor is a reader's position in an answer. It survives a change of the shard's
+// leader: the reader continues at the new leader from here.
 type cursor struct {
 	// Attempt is the attempt whose text was read; 0 before the first part.
 	Attempt uint32
-	// Offset is the position of the next byte wanted.
+	// Offset is the position of the next byte to send.
 	Offset uint64
 }
 
-// cursorSink passes parts on and keeps the cursor up to date.
+// cursorSink forwards parts to another sink and updates the cursor.
 type cursorSink struct {
-	next   caller.AnswerSink
+	sink   caller.AnswerSink
 	cursor cursor
-	// failed is the reader's own error: the reader has gone.
-	failed error
+	// readerError is the error that the reader returned; the reader is gone then.
+	readerError error
 }
 
-// Part passes the part on and moves the cursor behind it.
+// Part forwards the part and moves the cursor past it.
 func (s *cursorSink) Part(part caller.AnswerPart) error {
-	if err := s.next.Part(part); err != nil {
-		s.failed = err
+	if err := s.sink.Part(part); err != nil {
+		s.readerError = err
 		return err
 	}
 	s.cursor.Attempt = part.Attempt
@@ -30,16 +30,16 @@
 	return nil
 }
 
-// partAt builds the part that carries text of attempt to a reader at c. A
-// reader that followed an earlier attempt is told to start again.
-func (c cursor) partAt(attempt uint32, text []byte) caller.AnswerPart {
-	if c.superseded(attempt) {
+// newPart returns the part with text of an attempt for a reader at c. If the reader
+// followed an earlier attempt, the part tells it to restart.
+func (c cursor) newPart(attempt uint32, text []byte) caller.AnswerPart {
+	if c.isSupersededBy(attempt) {
 		return caller.AnswerPart{Attempt: attempt, Restart: true}
 	}
 	return caller.AnswerPart{Attempt: attempt, Offset: c.Offset, Text: text}
 }
 
-// superseded reports whether the reader holds text of an earlier attempt.
-func (c cursor) superseded(attempt uint32) bool {
+// isSupersededBy reports whether the reader has text of an earlier attempt.
+func (c cursor) isSupersededBy(attempt uint32) bool {
 	return c.Attempt != 0 && c.Attempt != attempt
 }
--- a/internal/executor/lookup.go
+++ b/internal/executor/declarations.go
@@ -10,12 +10,12 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-const tokensPerPrice = 1_000_000
+const tokensPerPriceUnit = 1_000_000
 
-// tokenCost is the cost of tokens in millionths of the currency unit, rounded
-// up; price is for a million tokens.
+// tokenCost returns the cost of tokens in millionths of the currency unit, rounded up.
+// price is per million tokens.
 func tokenCost(tokens, price int64) int64 {
-	return (tokens*price + tokensPerPrice - 1) / tokensPerPrice
+	return (tokens*price + tokensPerPriceUnit - 1) / tokensPerPriceUnit
 }
 
 func formatNumber(number uint64) string { return strconv.FormatUint(number, 10) }
@@ -32,7 +32,7 @@
 	return 0
 }
 
-func declaredTool(configuration *structs.Configuration, name structs.ToolName) (structs.Tool, bool) {
+func findTool(configuration *structs.Configuration, name structs.ToolName) (structs.Tool, bool) {
 	if configuration == nil {
 		return structs.Tool{}, false
 	}
@@ -44,7 +44,7 @@
 	return structs.Tool{}, false
 }
 
-func declaredAgent(configuration *structs.Configuration, name structs.ProgramName) (structs.AgentProgram, bool) {
+func findAgentProgram(configuration *structs.Configuration, name structs.ProgramName) (structs.AgentProgram, bool) {
 	for _, declared := range configuration.Declarations.Programs {
 		if declared.Name == name {
 			return declared, true
@@ -53,26 +53,27 @@
 	return structs.AgentProgram{}, false
 }
 
-// permittedCall applies the program's declaration to a call: what it may be
-// sent to, how long its answer may be, and whether it may be repeated.
-func permittedCall(configuration *structs.Configuration, status program.Status, request *caller.CallRequest) error {
+// applyDeclaration checks a call against the program's declaration, which determines
+// the permitted targets, and limits the length of the answer and whether the call can
+// be repeated.
+func applyDeclaration(configuration *structs.Configuration, status program.Status, request *caller.CallRequest) error {
 	if configuration == nil {
 		return &failure.NotReady{Missing: "configuration"}
 	}
-	declared, found := declaredAgent(configuration, status.ProgramName)
+	declared, found := findAgentProgram(configuration, status.ProgramName)
 	if !found {
 		return &failure.NotPermitted{What: "program " + string(status.ProgramName)}
 	}
 	switch request.Kind {
 	case caller.CallModel:
-		return permittedModelCall(declared, request)
+		return applyModelDeclaration(declared, request)
 	case caller.CallTool:
-		return permittedToolCall(configuration, declared, request)
+		return applyToolDeclaration(configuration, declared, request)
 	}
 	return &failure.Malformed{Field: "kind", Reason: "model or tool"}
 }
 
-func permittedModelCall(declared structs.AgentProgram, request *caller.CallRequest) error {
+func applyModelDeclaration(declared structs.AgentProgram, request *caller.CallRequest) error {
 	if !slices.Contains(declared.Models, structs.ModelName(request.Target)) {
 		return &failure.NotPermitted{What: "model " + request.Target}
 	}
@@ -82,11 +83,11 @@
 	return nil
 }
 
-func permittedToolCall(configuration *structs.Configuration, declared structs.AgentProgram, request *caller.CallRequest) error {
+func applyToolDeclaration(configuration *structs.Configuration, declared structs.AgentProgram, request *caller.CallRequest) error {
 	if !slices.Contains(declared.Tools, structs.ToolName(request.Target)) {
 		return &failure.NotPermitted{What: "tool " + request.Target}
 	}
-	declaredTool, found := declaredTool(configuration, structs.ToolName(request.Target))
+	declaredTool, found := findTool(configuration, structs.ToolName(request.Target))
 	if !found {
 		return &failure.NotPermitted{What: "tool " + request.Target}
 	}
--- a/internal/executor/duties.go
+++ b/internal/executor/duties.go
@@ -11,136 +11,141 @@
 )
 
 const (
-	// dutyInterval is how often led shards are asked for duties that are due.
+	// dutyInterval is how often the shards that this daemon leads are checked for due
+	// duties.
 	dutyInterval = 100 * time.Millisecond
-	// releaseTimeout bounds one release; a failed one is tried again while the
-	// hold stands.
-	releaseTimeout = 2 * time.Second
-	releaseDelay   = 500 * time.Millisecond
+	// releaseTimeout limits one release of engine memory. A failed release is retried
+	// after releaseRetryDelay until the hold is gone.
+	releaseTimeout    = 2 * time.Second
+	releaseRetryDelay = 500 * time.Millisecond
 )
 
-// dutyKey names a duty that is being met, so that it is not met twice at once.
+// dutyKey identifies a duty in progress, so that it is not performed twice at the same
+// time.
 type dutyKey struct {
 	kind    program.LeaderTaskKind
 	program structs.ProgramID
 	engine  structs.EngineID
 }
 
-func (e *Executor) runDuties() {
+func (e *Executor) runDutyLoop() {
 	for pause.For(e.context, dutyInterval) {
-		for _, held := range e.heldShards() {
-			held.meetDuties()
+		for _, replica := range e.localShards() {
+			replica.startDueDuties()
 		}
 	}
 }
 
-// meetDuties begins every duty that is due and not in hand.
-func (s *shard) meetDuties() {
-	for _, duty := range s.takeDuties() {
+// startDueDuties starts every due duty that is not in progress.
+func (s *shard) startDueDuties() {
+	for _, duty := range s.claimDueDuties() {
 		if duty.Kind == program.TaskResumeCall {
-			s.startResuming(duty.Tenant, duty.Program, duty.Call)
+			s.startWorkerWithCall(duty.Tenant, duty.Program, duty.Call)
 			continue
 		}
-		s.executor.task(func() {
-			defer s.dropDuty(duty)
-			s.meet(duty)
+		s.executor.runInBackground(func() {
+			defer s.unclaimDuty(duty)
+			s.performDuty(duty)
 		})
 	}
 }
 
-func (s *shard) takeDuties() []program.LeaderTask {
+// claimDueDuties returns the due duties and marks them as in progress. A resume duty
+// is not marked, because the program's worker prevents a second one.
+func (s *shard) claimDueDuties() []program.LeaderTask {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.term == 0 {
 		return nil
 	}
-	var taken []program.LeaderTask
+	var claimed []program.LeaderTask
 	for _, duty := range s.machine.DueTasks(time.Now()) {
 		if duty.Kind == program.TaskResumeCall {
 			if _, running := s.workers[duty.Program]; !running {
-				taken = append(taken, duty)
+				claimed = append(claimed, duty)
 			}
 			continue
 		}
-		if key := keyOf(duty); !s.duties[key] {
-			s.duties[key] = true
-			taken = append(taken, duty)
+		if key := newDutyKey(duty); !s.dutiesInProgress[key] {
+			s.dutiesInProgress[key] = true
+			claimed = append(claimed, duty)
 		}
 	}
-	return taken
+	return claimed
 }
 
-func keyOf(duty program.LeaderTask) dutyKey {
+func newDutyKey(duty program.LeaderTask) dutyKey {
 	return dutyKey{kind: duty.Kind, program: duty.Program, engine: duty.Hold.Engine}
 }
 
-func (s *shard) dropDuty(duty program.LeaderTask) {
+func (s *shard) unclaimDuty(duty program.LeaderTask) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	delete(s.duties, keyOf(duty))
+	delete(s.dutiesInProgress, newDutyKey(duty))
 }
 
-func (s *shard) meet(duty program.LeaderTask) {
-	ctx, err := s.leadership()
+func (s *shard) performDuty(duty program.LeaderTask) {
+	ctx, err := s.leaderContext()
 	if err != nil {
 		return
 	}
 	switch duty.Kind {
 	case program.TaskReleaseHold:
-		s.release(ctx, duty)
+		s.releaseHold(ctx, duty)
 	case program.TaskEndProgram:
-		s.end(ctx, duty)
+		s.endProgram(ctx, duty)
 	case program.TaskRemoveProgram:
-		s.remove(ctx, duty)
+		s.removeProgram(ctx, duty)
 	}
 }
 
-// release frees the memory of an ended program. The record follows the
-// engine's word that it is free, or that the incarnation which held it is gone.
-func (s *shard) release(ctx context.Context, duty program.LeaderTask) {
+// releaseHold frees the engine memory of an ended program. The release is recorded
+// only after the engine has confirmed it, or after the incarnation that held the
+// memory is gone.
+func (s *shard) releaseHold(ctx context.Context, duty program.LeaderTask) {
 	hold := duty.Hold
-	s.forgetProgram(duty.Program)
-	attempt, cancel := context.WithTimeout(ctx, releaseTimeout)
+	s.dropProgramHints(duty.Program)
+	releaseContext, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	err := s.executor.options.EngineClient.Release(attempt, hold.Address, hold.Incarnation, hold.Program)
+	err := s.executor.options.EngineClient.Release(releaseContext, hold.Address, hold.Incarnation, hold.Program)
 	if err != nil && !failure.IsType(err, (&failure.EngineGone{}).Type()) {
 		eventReleaseFailed.Log("program", hold.Program, "engine", hold.Engine, "cause", err)
-		pause.For(ctx, releaseDelay)
+		pause.For(ctx, releaseRetryDelay)
 		return
 	}
-	_, err = s.mutate(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
+	_, err = s.proposeDecision(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		return machine.RecordHoldReleased(now, hold.Program, hold.Engine, hold.Incarnation)
 	}, hold.Program)
-	s.logDuty(duty, err)
+	s.logDutyFailure(duty, err)
 }
 
-// forgetProgram drops what the leader noticed of a program that has ended.
-func (s *shard) forgetProgram(id structs.ProgramID) {
+// dropProgramHints drops the scheduling hints of a program that has ended.
+func (s *shard) dropProgramHints(id structs.ProgramID) {
 	s.mutex.Lock()
 	status, found := s.machine.StatusForAnyTenant(id)
 	s.mutex.Unlock()
 	if found {
-		s.forgetNote(status)
+		s.dropHints(status)
 	}
 }
 
-func (s *shard) end(ctx context.Context, duty program.LeaderTask) {
-	_, err := s.mutate(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
+func (s *shard) endProgram(ctx context.Context, duty program.LeaderTask) {
+	_, err := s.proposeDecision(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		return machine.End(now, duty.Tenant, duty.Program, duty.Cause)
 	}, duty.Program)
 	eventProgramEnded.Log("program", duty.Program, "cause", duty.Cause)
-	s.logDuty(duty, err)
+	s.logDutyFailure(duty, err)
 }
 
-func (s *shard) remove(ctx context.Context, duty program.LeaderTask) {
-	_, err := s.mutate(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
+func (s *shard) removeProgram(ctx context.Context, duty program.LeaderTask) {
+	_, err := s.proposeDecision(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		return machine.Remove(now, duty.Program)
 	}, duty.Program)
-	s.logDuty(duty, err)
+	s.logDutyFailure(duty, err)
 }
 
-func (s *shard) logDuty(duty program.LeaderTask, err error) {
-	if err != nil && !searchable(err) {
+func (s *shard) logDutyFailure(duty program.LeaderTask, err error) {
+	if err != nil && !isRetriable(err) {
 		eventDutyFailed.Log("program", duty.Program, "duty", duty.Kind, "cause", err)
 	}
 }
--- a/internal/executor/executor.go
+++ b/internal/executor/executor.go
@@ -1,7 +1,8 @@
-// Package executor carries programs out: it takes callers' requests to the
-// leader of their shard, dispatches calls to engines and tools once their
-// records are on a majority, streams answers, and meets the duties that
-// programs leave behind. Decisions are those of packages program and schedule.
+// Package executor runs agent programs. It routes requests of callers to the leader of
+// their shard, dispatches calls to engines and tools once their records are committed
+// by a majority, streams answers, and performs the duties that programs leave behind,
+// such as freeing engine memory. It executes decisions that packages program and
+// schedule make.
 package executor
 
 import (
@@ -20,18 +21,19 @@
 )
 
 const (
-	// retryRatio is how many attempts may be repeated for each one that
-	// succeeded, and retriesPerSecond how many may be without any: the streams
-	// of a full engine that is lost are repeated within two seconds, and engines
-	// that all fail get little more than their load once.
+	// retryRatio is the number of retries allowed per successful attempt.
+	// retriesPerSecond is the number of retries per second allowed regardless of
+	// successes. With these values the streams of a full engine that fails are retried
+	// within two seconds, and if all engines fail, they receive little more than their
+	// load once.
 	retryRatio       = 0.2
 	retriesPerSecond = 16
 )
 
-// Replicator is the replicated journal, as *replication.Host provides it.
+// Replicator is the replicated journal; *replication.Host implements it.
 type Replicator interface {
-	// ProposeInTerm returns nil once data is committed and applied here. It
-	// proposes nothing unless this daemon leads the shard in term.
+	// ProposeInTerm proposes data and returns nil once it is committed and applied on
+	// this daemon. It proposes nothing unless this daemon leads the shard in term.
 	ProposeInTerm(ctx context.Context, shard structs.ShardID, term uint64, data []byte) error
 	ConfirmLeadership(ctx context.Context, shard structs.ShardID) error
 	EnsureLeader(ctx context.Context, shard structs.ShardID) (structs.NodeID, error)
@@ -44,9 +46,9 @@
 	Forward(ctx context.Context, node structs.NodeID, request *peerv1.ForwardRequest, receive func(*peerv1.ForwardEvent) error) error
 }
 
-// Directory knows which daemons hold replicas of a shard, by what peers told.
+// Directory knows which daemons hold replicas of a shard, as reported by peers.
 type Directory interface {
-	// Members returns nodes to ask, the believed leader first.
+	// Members returns the nodes to ask, the presumed leader first.
 	Members(shard structs.ShardID) []structs.NodeID
 }
 
@@ -54,17 +56,17 @@
 type Engines interface {
 	// Snapshot returns the current view; it is immutable.
 	Snapshot() *schedule.Snapshot
-	// StreamStarted corrects the view by a stream sent now; the function that it
-	// returns takes the correction back when the stream ends.
+	// StreamStarted adds a stream that starts now to the view. The returned function
+	// removes it when the stream ends.
 	StreamStarted(id structs.EngineID, tokens int64) func()
-	// ReportFailure tells that the engine did not answer.
+	// ReportFailure reports that the engine failed to answer.
 	ReportFailure(id structs.EngineID)
-	// RequestEngines asks for engines that serve the model in the zones to be followed:
-	// none of those followed could take a call.
+	// RequestEngines asks to follow engines in the zones that serve the model, because
+	// none of the engines followed so far can take a call.
 	RequestEngines(zones []structs.ZoneName, model structs.ModelName)
 }
 
-// Options set up an Executor. All fields but Seed are required.
+// Options configures an Executor. All fields except Seed are required.
 type Options struct {
 	Self         structs.Node
 	Replicator   Replicator
@@ -73,21 +75,21 @@
 	Engines      Engines
 	EngineClient *engine.Client
 	ToolClient   *tool.Client
-	// Configuration returns the version in force; nil while there is none.
+	// Configuration returns the active configuration, or nil if there is none.
 	Configuration func() *structs.Configuration
-	// Policy returns the scheduling policy now in use.
+	// Policy returns the current scheduling policy.
 	Policy func() schedule.Policy
-	// Seed makes the executor's random choices repeatable.
+	// Seed makes random choices reproducible.
 	Seed uint64
 }
 
-// Executor carries out the programs of the shards that this daemon leads.
+// Executor runs the programs of the shards that this daemon leads.
 type Executor struct {
 	options Options
 
-	context context.Context
-	cancel  context.CancelFunc
-	tasks   sync.WaitGroup
+	context    context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
 
 	shardMutex sync.RWMutex
 	shards     map[structs.ShardID]*shard
@@ -95,99 +97,99 @@
 	randomMutex sync.Mutex
 	random      *rand.Rand
 
-	pauses *schedule.PauseEstimator
-	growth *schedule.GrowthEstimator
+	pauseEstimator  *schedule.PauseEstimator
+	growthEstimator *schedule.GrowthEstimator
 
-	retries *limit.RetryBudget
+	retryBudget *limit.RetryBudget
 
-	quiesced quiescence
-	forwards forwards
+	quiescence     quiescence
+	forwardTracker forwardTracker
 }
 
-// New returns an executor; Start begins its duties.
+// New returns an executor. Start starts its background work.
 func New(options Options) *Executor {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Executor{
-		options: options,
-		context: ctx,
-		cancel:  cancel,
-		shards:  map[structs.ShardID]*shard{},
-		pauses:  schedule.NewPauseEstimator(),
-		growth:  schedule.NewGrowthEstimator(),
-		retries: limit.NewRetryBudget(time.Now(), retryRatio, retriesPerSecond),
-		random:  rand.New(rand.NewPCG(options.Seed, uint64(options.Self.Incarnation))),
+		options:         options,
+		context:         ctx,
+		cancel:          cancel,
+		shards:          map[structs.ShardID]*shard{},
+		pauseEstimator:  schedule.NewPauseEstimator(),
+		growthEstimator: schedule.NewGrowthEstimator(),
+		retryBudget:     limit.NewRetryBudget(time.Now(), retryRatio, retriesPerSecond),
+		random:          rand.New(rand.NewPCG(options.Seed, uint64(options.Self.Incarnation))),
 	}
 }
 
-// Start begins to look after the duties of the shards led here.
+// Start starts performing the duties of the shards that this daemon leads.
 func (e *Executor) Start() {
-	e.task(e.runDuties)
+	e.runInBackground(e.runDutyLoop)
 }
 
-// Close stops all work at once; nothing is handed over.
+// Close stops all work immediately, without handing anything over to another daemon.
 func (e *Executor) Close() {
 	e.cancel()
-	e.tasks.Wait()
+	e.background.Wait()
 }
 
-// SetReplicator sets the journal, which is made with the executor's own state
-// machines and so after it. It must be called before Start.
+// SetReplicator sets the journal. The journal is created with the state machines of
+// the executor and therefore after it. SetReplicator must be called before Start.
 func (e *Executor) SetReplicator(replicator Replicator) {
 	e.options.Replicator = replicator
 }
 
-// NewStateMachine returns the state machine of a shard that this daemon holds a
-// replica of.
+// NewStateMachine returns the state machine of a shard of which this daemon holds a
+// replica.
 func (e *Executor) NewStateMachine(id structs.ShardID) replication.StateMachine {
-	created := newShard(e, id)
+	replica := newShard(e, id)
 	e.shardMutex.Lock()
 	defer e.shardMutex.Unlock()
-	e.shards[id] = created
-	return created
+	e.shards[id] = replica
+	return replica
 }
 
-// LeadershipChanged takes note of a shard that this daemon leads from now on,
-// with every committed record applied, or leads no more.
+// LeadershipChanged records that this daemon became the leader of a shard, with every
+// committed record applied, or is no longer its leader.
 func (e *Executor) LeadershipChanged(id structs.ShardID, leading bool, term uint64) {
-	held, known := e.shard(id)
-	if !known {
+	replica, found := e.localShard(id)
+	if !found {
 		return
 	}
 	if leading {
-		held.lead(term)
+		replica.becomeLeader(term)
 		return
 	}
-	held.follow()
+	replica.becomeFollower()
 }
 
-func (e *Executor) shard(id structs.ShardID) (*shard, bool) {
+func (e *Executor) localShard(id structs.ShardID) (*shard, bool) {
 	e.shardMutex.RLock()
 	defer e.shardMutex.RUnlock()
-	held, known := e.shards[id]
-	return held, known
+	replica, found := e.shards[id]
+	return replica, found
 }
 
-func (e *Executor) heldShards() []*shard {
+func (e *Executor) localShards() []*shard {
 	e.shardMutex.RLock()
 	defer e.shardMutex.RUnlock()
-	held := make([]*shard, 0, len(e.shards))
-	for _, each := range e.shards {
-		held = append(held, each)
+	replicas := make([]*shard, 0, len(e.shards))
+	for _, replica := range e.shards {
+		replicas = append(replicas, replica)
 	}
-	return held
+	return replicas
 }
 
-// task runs work until it returns; Close waits for it.
-func (e *Executor) task(work func()) {
-	e.tasks.Add(1)
+// runInBackground runs work in a goroutine. Close waits for it.
+func (e *Executor) runInBackground(work func()) {
+	e.background.Add(1)
 	go func() {
-		defer e.tasks.Done()
+		defer e.background.Done()
 		work()
 	}()
 }
 
-// choose runs the policy under the executor's own random source.
-func (e *Executor) choose(request *schedule.Request) (schedule.Choice, error) {
+// chooseEngine runs the policy with a random source derived from the executor's own.
+func (e *Executor) chooseEngine(request *schedule.Request) (schedule.Choice, error) {
 	e.randomMutex.Lock()
 	random := rand.New(rand.NewPCG(e.random.Uint64(), e.random.Uint64()))
 	e.randomMutex.Unlock()
--- a/internal/executor/first_attempt.go
+++ b/internal/executor/first_attempt.go
@@ -11,18 +11,18 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// firstAttempt prepares the first attempt of a model call that can be started in
-// the entry that accepts it, which saves a commit before the first token. It
-// returns nil where the call has to wait, and an *failure.Overloaded where no
-// engine has room for it before its deadline: nothing is recorded of the call
-// then, and the same call may be sent again.
+// firstAttempt prepares the first attempt of a model call, so that the record that
+// accepts the call can also start the attempt. This saves a commit before the first
+// token. It returns nil if the call has to wait, and a *failure.Overloaded error if no
+// engine has room for the call before its deadline. In that case nothing is recorded
+// of the call, and the same call can be sent again.
 func (s *shard) firstAttempt(tenant structs.TenantID, status program.Status, request caller.CallRequest) (*modelAttempt, error) {
 	if request.Kind != caller.CallModel {
 		return nil, nil
 	}
-	s.notePause(status)
+	s.observePause(status)
 	worker := &worker{shard: s, tenant: tenant, program: status.ID}
-	attempt, err := worker.prepare(&program.Call{
+	attempt, err := worker.prepareAttempt(&program.Call{
 		Program:         status.ID,
 		Number:          request.Number,
 		Kind:            program.ModelCall,
@@ -36,35 +36,35 @@
 	if err != nil {
 		return nil, err
 	}
-	asked := s.scheduleRequest(status, attempt.prospect())
-	choice, err := s.executor.choose(asked)
+	scheduleRequest := s.newScheduleRequest(status, attempt.describeCall())
+	choice, err := s.executor.chooseEngine(scheduleRequest)
 	if failure.IsType(err, (&failure.Overloaded{}).Type()) {
 		return nil, err
 	}
-	if err != nil || choice.Defer > 0 || s.executor.quiesced.active() || s.mayRest(choice, status) != nil {
+	if err != nil || choice.Defer > 0 || s.executor.quiescence.isStopping() || s.permitCachePlacement(choice, status) != nil {
 		return nil, nil
 	}
-	worker.assign(attempt, choice, asked, status)
+	worker.assignEngine(attempt, choice, scheduleRequest, status)
 	return attempt, nil
 }
 
-// mayRest returns nil where the program's cache may rest in the engine's zone,
-// and else a *failure.NoPermittedPlace.
-func (s *shard) mayRest(choice schedule.Choice, status program.Status) error {
+// permitCachePlacement returns nil if the program's cache may be placed in the
+// engine's zone, and a *failure.NoPermittedPlace error otherwise.
+func (s *shard) permitCachePlacement(choice schedule.Choice, status program.Status) error {
 	policy := placement.Policy{CacheZones: status.CacheZones}
 	return placement.Check(policy, placement.Cache, s.executor.engineZone(choice.Engine))
 }
 
-// assign gives the attempt the engine that was chosen for what was asked.
-func (w *worker) assign(attempt *modelAttempt, choice schedule.Choice, asked *schedule.Request, status program.Status) {
+// assignEngine assigns the chosen engine to the attempt.
+func (w *worker) assignEngine(attempt *modelAttempt, choice schedule.Choice, scheduleRequest *schedule.Request, status program.Status) {
 	attempt.choice = choice
-	attempt.missing = max(attempt.prompt-asked.CachedTokens[choice.Engine], 0)
-	attempt.moveFrom = w.moveSource(choice, status)
+	attempt.uncachedTokens = max(attempt.promptTokens-scheduleRequest.CachedTokens[choice.Engine], 0)
+	attempt.moveSourceAddress = w.moveSource(choice, status)
 }
 
-// acceptance returns the decision that takes a call, with its first attempt
-// where that is prepared and the call is still the next one.
-func acceptance(request program.CallRequest, attempt *modelAttempt, status program.Status) decider {
+// acceptDecision returns the decision that accepts a call. It also starts the first
+// attempt if that is prepared and the call is still the next one.
+func acceptDecision(request program.CallRequest, attempt *modelAttempt, status program.Status) decisionFunc {
 	return func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		if attempt == nil || !machine.CanStartOnAccept(request.Program, request.Number) {
 			return machine.Accept(now, request)
@@ -73,18 +73,18 @@
 	}
 }
 
-// beginAttempt hands an attempt whose start is committed to the program's
-// worker. It does nothing where the call was accepted alone.
-func (s *shard) beginAttempt(tenant structs.TenantID, attempt *modelAttempt) {
+// handOverAttempt hands an attempt whose start is committed to the program's worker.
+// It does nothing if the call was accepted without an attempt.
+func (s *shard) handOverAttempt(tenant structs.TenantID, attempt *modelAttempt) {
 	if attempt == nil {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	started, found := s.machine.StartedCall(attempt.call.Program, attempt.call.Number, dispatchKey(attempt.call))
+	call, found := s.machine.StartedCall(attempt.call.Program, attempt.call.Number, dispatchKey(attempt.call))
 	if !found || s.term == 0 {
 		return
 	}
-	attempt.call = started
-	s.putToWork(&worker{shard: s, tenant: tenant, program: started.Program, context: s.context, begun: attempt})
+	attempt.call = call
+	s.ensureWorker(&worker{shard: s, tenant: tenant, program: call.Program, context: s.context, committedAttempt: attempt})
 }
--- a/internal/executor/forward.go
+++ b/internal/executor/forward.go
@@ -9,13 +9,13 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// peerUnreachableType is the type of a failure to reach another daemon, which
-// package peer defines.
+// peerUnreachableType is the type of the failure to reach another daemon, defined in
+// package peer.
 const peerUnreachableType failure.Type = "peer_unreachable"
 
-// wire encodes the operation for another daemon, with where the reader stands
-// now.
-func (op operation) wire(hops uint32, sink replySink) *peerv1.ForwardRequest {
+// forwardRequest encodes the operation for another daemon, with the reader's current
+// position.
+func (op operation) forwardRequest(hops uint32, sink replySink) *peerv1.ForwardRequest {
 	request := &peerv1.ForwardRequest{
 		Operation: string(op.name),
 		Tenant:    string(op.tenant),
@@ -30,19 +30,20 @@
 	return request
 }
 
-// receive passes an event from another daemon on to the request's own sink.
+// receive passes an event from another daemon to the sink of the request.
 func (s replySink) receive(event *peerv1.ForwardEvent) error {
 	if part := event.GetPart(); part != nil && s.parts != nil {
 		return s.parts.Part(decodePart(part))
 	}
-	if body := event.GetBody(); body != nil && s.body != nil {
-		return s.body(body)
+	if body := event.GetBody(); body != nil && s.onBody != nil {
+		return s.onBody(body)
 	}
 	return nil
 }
 
-// ExecuteForwarded runs a request that another daemon forwarded, here or one hop on,
-// and sends its events back. The first event is empty and acknowledges it.
+// ExecuteForwarded executes a request that another daemon forwarded, locally or by forwarding
+// it once more, and sends its events back. The first event is empty and acknowledges
+// the request.
 func (e *Executor) ExecuteForwarded(ctx context.Context, request *peerv1.ForwardRequest, send func(*peerv1.ForwardEvent) error) error {
 	op := operation{
 		name:    operationName(request.GetOperation()),
@@ -57,19 +58,19 @@
 	if err := send(&peerv1.ForwardEvent{}); err != nil {
 		return err
 	}
-	standing := cursor{Attempt: request.GetAttempt(), Offset: request.GetOffset()}
-	return e.attempt(ctx, shard, op, sendingSink(op, standing, send), request.GetHops(), map[structs.NodeID]bool{})
+	position := cursor{Attempt: request.GetAttempt(), Offset: request.GetOffset()}
+	return e.executeOnce(ctx, shard, op, newForwardSink(op, position, send), request.GetHops(), map[structs.NodeID]bool{})
 }
 
-// sendingSink encodes what the operation answers and sends it back, to a reader
-// that stands there.
-func sendingSink(op operation, standing cursor, send func(*peerv1.ForwardEvent) error) replySink {
-	sink := replySink{body: func(body []byte) error {
+// newForwardSink returns a sink that encodes replies and sends them back, for a reader
+// at the given position.
+func newForwardSink(op operation, position cursor, send func(*peerv1.ForwardEvent) error) replySink {
+	sink := replySink{onBody: func(body []byte) error {
 		return send(&peerv1.ForwardEvent{Event: &peerv1.ForwardEvent_Body{Body: body}})
 	}}
 	switch op.name {
 	case operationCall, operationRead:
-		sink.parts = &cursorSink{cursor: standing, next: caller.AnswerSinkFunc(func(part caller.AnswerPart) error {
+		sink.parts = &cursorSink{cursor: position, sink: caller.AnswerSinkFunc(func(part caller.AnswerPart) error {
 			return send(&peerv1.ForwardEvent{Event: &peerv1.ForwardEvent_Part{Part: encodePart(part)}})
 		})}
 	}
--- a/internal/executor/local.go
+++ b/internal/executor/local.go
@@ -12,44 +12,45 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// local carries an operation out on a shard that this daemon leads.
-func (e *Executor) local(ctx context.Context, id structs.ShardID, op operation, sink replySink) error {
-	held, known := e.shard(id)
-	if !known {
+// executeLocally executes an operation on a shard that this daemon leads.
+func (e *Executor) executeLocally(ctx context.Context, id structs.ShardID, op operation, sink replySink) error {
+	replica, found := e.localShard(id)
+	if !found {
 		return &failure.NotLeader{Shard: uint32(id)}
 	}
-	led, err := held.leadership()
+	leadership, err := replica.leaderContext()
 	if err != nil {
 		return err
 	}
-	err = held.serve(ctx, op, sink)
-	if refusedByState(err) {
-		return held.confirmRefusal(ctx, led, err)
+	err = replica.serveOperation(ctx, op, sink)
+	if isRejectedByState(err) {
+		return replica.confirmRejection(ctx, leadership, err)
 	}
 	return err
 }
 
-// refusedByState reports whether err says that the request does not fit the
-// programs' state, which a former leader may not know the latest of.
-func refusedByState(err error) bool {
-	known, ok := failure.As(err)
-	return ok && known.Outcome() == failure.NotRun && !searchable(err)
+// isRejectedByState reports whether err says that the request does not fit the state
+// of the programs. A former leader may not know the latest state.
+func isRejectedByState(err error) bool {
+	classified, ok := failure.As(err)
+	return ok && classified.Outcome() == failure.NotRun && !isRetriable(err)
 }
 
-// confirmRefusal makes sure that this daemon still led the shard when it
-// refused, in the same leadership that it refused in: led ends with it. A daemon
-// that was paused may wake as a leader of the past, and lead again soon after.
-func (s *shard) confirmRefusal(ctx, led context.Context, refusal error) error {
+// confirmRejection confirms that this daemon still led the shard when it rejected a
+// request, and in the same leadership: leadership is the context of that leadership. A
+// daemon that was paused may resume with stale leadership, and become leader again
+// soon after.
+func (s *shard) confirmRejection(ctx, leadership context.Context, rejection error) error {
 	if err := s.executor.options.Replicator.ConfirmLeadership(ctx, s.id); err != nil {
 		return err
 	}
-	if led.Err() != nil {
-		return s.notLeader()
+	if leadership.Err() != nil {
+		return s.notLeaderError()
 	}
-	return refusal
+	return rejection
 }
 
-func (s *shard) serve(ctx context.Context, op operation, sink replySink) error {
+func (s *shard) serveOperation(ctx context.Context, op operation, sink replySink) error {
 	switch op.name {
 	case operationOpen:
 		return s.serveOpen(ctx, op, sink)
@@ -79,12 +80,12 @@
 		ids = []structs.ProgramID{body.Request.Parent, op.program}
 	}
 	open := func(now time.Time, machine *program.Machine) (program.Decision, error) {
-		return machine.Open(now, body.openRequest(now, op.tenant, op.program))
+		return machine.Open(now, body.programRequest(now, op.tenant, op.program))
 	}
-	if _, err := s.mutate(ctx, open, ids...); err != nil {
+	if _, err := s.proposeDecision(ctx, open, ids...); err != nil {
 		return err
 	}
-	if err := s.tookEffect(open); err != nil {
+	if err := s.checkTookEffect(open); err != nil {
 		return err
 	}
 	return s.serveStatus(op, sink)
@@ -95,29 +96,29 @@
 	if err := decodeBody(op.body, &body); err != nil {
 		return err
 	}
-	admitted, err := s.admitCall(op, body.Request)
+	admission, err := s.admitCall(op, body.Request)
 	if err != nil {
 		return err
 	}
-	accept := acceptance(admitted.request, admitted.attempt, admitted.status)
-	decision, err := s.mutate(ctx, accept, op.program)
+	accept := acceptDecision(admission.request, admission.attempt, admission.status)
+	decision, err := s.proposeDecision(ctx, accept, op.program)
 	if err != nil {
 		return err
 	}
-	if err := s.tookEffect(accept); err != nil {
+	if err := s.checkTookEffect(accept); err != nil {
 		return err
 	}
 	if !decision.Repeat {
-		s.beginAttempt(op.tenant, admitted.attempt)
+		s.handOverAttempt(op.tenant, admission.attempt)
 	}
 	return s.followAnswer(ctx, op, body.Request.Number, sink)
 }
 
-// tookEffect makes sure that a decision's records were not void when they were
-// applied: the end of a parent, decided on meanwhile, ends its sub-agents too.
-// It returns why the same request would be refused now.
-func (s *shard) tookEffect(decide decider) error {
-	return s.inspect(func(machine *program.Machine) error {
+// checkTookEffect verifies that the records of a decision were not void when they were
+// applied. If a parent's end was committed in the meantime, its sub-agents ended as
+// well. It returns the error with which the same request would be rejected now.
+func (s *shard) checkTookEffect(decide decisionFunc) error {
+	return s.readState(func(machine *program.Machine) error {
 		decision, err := decide(time.Now(), machine)
 		if err != nil || decision.Repeat {
 			return err
@@ -126,33 +127,33 @@
 	})
 }
 
-// admittedCall is a call that may be recorded.
-type admittedCall struct {
+// admission is a call that may be recorded.
+type admission struct {
 	request program.CallRequest
 	status  program.Status
-	// attempt is the call's first one; nil where it cannot be started at once.
+	// attempt is the call's first attempt; nil if it cannot start immediately.
 	attempt *modelAttempt
 }
 
-// admitCall checks a call against the declarations in force and gives it the
-// declared bounds. A call that the journal has already is not checked again.
-func (s *shard) admitCall(op operation, request caller.CallRequest) (admittedCall, error) {
+// admitCall checks a call against the active declarations and applies their limits to
+// it. A call that is already in the journal is not checked again.
+func (s *shard) admitCall(op operation, request caller.CallRequest) (admission, error) {
 	hash := xxhash.Sum64(encodeBody(request))
 	status, repeated := program.Status{}, false
-	err := s.inspect(func(machine *program.Machine) error {
+	err := s.readState(func(machine *program.Machine) error {
 		found, err := machine.Status(op.tenant, op.program)
 		status = found
 		_, repeated = machine.Call(op.program, request.Number)
 		return err
 	})
 	if err == nil && !repeated {
-		err = permittedCall(s.executor.options.Configuration(), status, &request)
+		err = applyDeclaration(s.executor.options.Configuration(), status, &request)
 	}
 	var attempt *modelAttempt
 	if err == nil && !repeated {
 		attempt, err = s.firstAttempt(op.tenant, status, request)
 	}
-	return admittedCall{request: callRequest(op, request, hash), status: status, attempt: attempt}, err
+	return admission{request: callRequest(op, request, hash), status: status, attempt: attempt}, err
 }
 
 func callRequest(op operation, request caller.CallRequest, hash uint64) program.CallRequest {
@@ -184,7 +185,7 @@
 	if err := decodeBody(op.body, &body); err != nil {
 		return err
 	}
-	_, err := s.mutate(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
+	_, err := s.proposeDecision(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		return machine.Cancel(now, op.tenant, op.program, body.Number)
 	}, op.program)
 	if err != nil {
@@ -195,7 +196,7 @@
 }
 
 func (s *shard) serveEnd(ctx context.Context, op operation, sink replySink) error {
-	_, err := s.mutate(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
+	_, err := s.proposeDecision(ctx, func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		return machine.End(now, op.tenant, op.program, program.CauseEnded)
 	}, op.program)
 	if err != nil {
@@ -204,7 +205,8 @@
 	return s.serveStatus(op, sink)
 }
 
-// serveConfirmedStatus tells a status that no later leader has changed.
+// serveConfirmedStatus sends the status after confirming the leadership, so that no
+// later leader has changed it.
 func (s *shard) serveConfirmedStatus(ctx context.Context, op operation, sink replySink) error {
 	if err := s.executor.options.Replicator.ConfirmLeadership(ctx, s.id); err != nil {
 		return err
@@ -214,7 +216,7 @@
 
 func (s *shard) serveStatus(op operation, sink replySink) error {
 	status := caller.ProgramStatus{}
-	err := s.inspect(func(machine *program.Machine) error {
+	err := s.readState(func(machine *program.Machine) error {
 		found, err := machine.Status(op.tenant, op.program)
 		status = statusForCaller(found)
 		return err
@@ -222,7 +224,7 @@
 	if err != nil {
 		return err
 	}
-	return sink.body(encodeBody(status))
+	return sink.onBody(encodeBody(status))
 }
 
 func statusForCaller(status program.Status) caller.ProgramStatus {
--- a/internal/executor/model_call.go
+++ b/internal/executor/model_call.go
@@ -13,58 +13,60 @@
 )
 
 const (
-	// modelCallTimeout bounds one attempt of a model call; the attempt reserves
-	// as much of the time budget, or what is left of it.
+	// modelCallTimeout limits one attempt of a model call. The attempt reserves this
+	// much of the time budget, or the remaining budget if that is less.
 	modelCallTimeout = 120 * time.Second
-	// engineSearchTimeout is how long a call waits for an engine that can take
-	// it before it is refused.
-	engineSearchTimeout = 3 * time.Second
-	engineSearchDelay   = 100 * time.Millisecond
-	// holdTimeout is how long the first call of a program is held at the most
-	// while no engine has memory for it; the policy ends the hold sooner where
-	// the program's deadline is near.
-	holdTimeout = 30 * time.Second
-	// maxModelAttempts bounds the attempts of one call.
+	// engineSearchTimeout is how long a call waits for an engine with room before it
+	// is rejected.
+	engineSearchTimeout  = 3 * time.Second
+	engineSearchInterval = 100 * time.Millisecond
+	// maxDeferTime is the longest time that a call is deferred while no engine has
+	// memory for its program. The scheduling policy stops deferring earlier if the
+	// program's deadline is near.
+	maxDeferTime = 30 * time.Second
+	// maxModelAttempts limits the attempts of one call.
 	maxModelAttempts = 4
-	// moveTimeout bounds a transfer of cache; the call prefills without it.
+	// moveTimeout limits a cache transfer between engines. If it fails, the engine
+	// prefills the prompt instead.
 	moveTimeout = 2 * time.Second
 )
 
-// modelAttempt is everything needed to send, or send again, one attempt.
+// modelAttempt contains everything needed to send one attempt, or to resend it.
 type modelAttempt struct {
-	call     *program.Call
-	segments [][]byte
-	prompt   int64
-	// missing are the prompt's tokens that the engine is not believed to have.
-	missing  int64
-	price    int64
-	choice   schedule.Choice
-	moveFrom string
-	// taken says that an earlier leader started the attempt.
-	taken bool
+	call         *program.Call
+	segments     [][]byte
+	promptTokens int64
+	// uncachedTokens are the prompt tokens that the engine is not expected to have
+	// cached.
+	uncachedTokens        int64
+	pricePerMillionTokens int64
+	choice                schedule.Choice
+	moveSourceAddress     string
+	// startedByFormerLeader is set if an earlier leader started the attempt.
+	startedByFormerLeader bool
 }
 
-// runModel runs a model call to its end.
-func (w *worker) runModel(call *program.Call, started bool) error {
-	attempt, err := w.prepare(call, started)
+// runModel executes a model call until it ends.
+func (w *worker) runModel(call *program.Call, startedByFormerLeader bool) error {
+	attempt, err := w.prepareAttempt(call, startedByFormerLeader)
 	if err != nil {
 		return err
 	}
-	if !started {
-		if done, err := w.beginModel(attempt, nil); done || err != nil {
+	if !startedByFormerLeader {
+		if done, err := w.startModelAttempt(attempt, nil); done || err != nil {
 			return err
 		}
 	}
-	return w.followModel(attempt)
+	return w.runModelAttempts(attempt)
 }
 
-// followModel follows a started attempt, and the attempts that take its place,
-// to the call's end.
-func (w *worker) followModel(attempt *modelAttempt) error {
+// runModelAttempts executes a started attempt, and further attempts if it is lost,
+// until the call ends.
+func (w *worker) runModelAttempts(attempt *modelAttempt) error {
 	excluded := map[structs.EngineID]bool{}
 	for {
-		again, err := w.streamModel(attempt)
-		if err != nil || !again {
+		retry, err := w.streamAttempt(attempt)
+		if err != nil || !retry {
 			return err
 		}
 		excluded[structs.EngineID(attempt.call.TargetID)] = true
@@ -75,45 +77,47 @@
 	}
 }
 
-// nextAttempt starts the call once more; nil says that the call has ended.
+// nextAttempt starts another attempt of the call. It returns nil if the call has
+// ended.
 func (w *worker) nextAttempt(lost *program.Call, excluded map[structs.EngineID]bool) (*modelAttempt, error) {
-	if refused, err := w.awaitRetry(lost); refused || err != nil {
+	if rejected, err := w.awaitRetryBudget(lost); rejected || err != nil {
 		return nil, err
 	}
-	call, err := w.callNow(lost.Number)
+	call, err := w.currentCall(lost.Number)
 	if err != nil || call.State.Final() {
 		return nil, err
 	}
-	attempt, err := w.prepare(call, false)
+	attempt, err := w.prepareAttempt(call, false)
 	if err != nil {
 		return nil, err
 	}
-	if done, err := w.beginModel(attempt, excluded); done || err != nil {
+	if done, err := w.startModelAttempt(attempt, excluded); done || err != nil {
 		return nil, err
 	}
 	return attempt, nil
 }
 
-// awaitRetry waits until the daemon's retries leave room for one more. A call for
-// which there is none in time is refused.
-func (w *worker) awaitRetry(call *program.Call) (refused bool, err error) {
+// awaitRetryBudget waits until the daemon's retry budget permits a retry, and rejects
+// the call if it does not within engineSearchTimeout.
+func (w *worker) awaitRetryBudget(call *program.Call) (rejected bool, err error) {
 	deadline := time.Now().Add(engineSearchTimeout)
-	for !w.shard.executor.retries.Allow(time.Now()) {
+	for !w.shard.executor.retryBudget.Allow(time.Now()) {
 		if time.Now().After(deadline) {
-			return true, w.refuse(call, &failure.EngineUnavailable{Wait: engineSearchTimeout})
+			return true, w.reject(call, &failure.EngineUnavailable{Wait: engineSearchTimeout})
 		}
-		if !pause.For(w.context, engineSearchDelay) {
-			return false, w.shard.notLeader()
+		if !pause.For(w.context, engineSearchInterval) {
+			return false, w.shard.notLeaderError()
 		}
 	}
 	return false, nil
 }
 
-// prepare collects the prompt: the program's whole history and the call's input.
-func (w *worker) prepare(call *program.Call, started bool) (*modelAttempt, error) {
-	attempt := &modelAttempt{call: call, taken: started}
+// prepareAttempt collects the prompt: the program's complete history and the call's
+// input.
+func (w *worker) prepareAttempt(call *program.Call, startedByFormerLeader bool) (*modelAttempt, error) {
+	attempt := &modelAttempt{call: call, startedByFormerLeader: startedByFormerLeader}
 	packed := program.EncodedHistory{}
-	err := w.shard.inspect(func(machine *program.Machine) error {
+	err := w.shard.readState(func(machine *program.Machine) error {
 		history, err := machine.EncodedHistory(w.program)
 		packed = history
 		return err
@@ -121,7 +125,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A long history takes milliseconds to unpack, beside the shard's lock.
+	// Unpacking a long history takes milliseconds, so it is done without the shard's
+	// lock.
 	turns, err := packed.Turns()
 	if err != nil {
 		return nil, err
@@ -131,26 +136,26 @@
 	}
 	attempt.segments = append(attempt.segments, call.Input)
 	for _, segment := range attempt.segments {
-		attempt.prompt += engine.TokenCount(segment)
+		attempt.promptTokens += engine.TokenCount(segment)
 	}
-	attempt.missing = attempt.prompt
-	attempt.price = modelPrice(w.shard.executor.options.Configuration(), structs.ModelName(call.Target))
+	attempt.uncachedTokens = attempt.promptTokens
+	attempt.pricePerMillionTokens = modelPrice(w.shard.executor.options.Configuration(), structs.ModelName(call.Target))
 	return attempt, nil
 }
 
-// beginModel chooses an engine and records the start. done says that the call
-// has ended instead.
-func (w *worker) beginModel(attempt *modelAttempt, excluded map[structs.EngineID]bool) (done bool, err error) {
+// startModelAttempt chooses an engine and records the start of the attempt. done
+// reports that the call has ended instead.
+func (w *worker) startModelAttempt(attempt *modelAttempt, excluded map[structs.EngineID]bool) (done bool, err error) {
 	status, err := w.status()
 	if err != nil {
 		return false, err
 	}
 	if err := w.findEngine(attempt, status, excluded); err != nil {
-		return true, w.refuse(attempt.call, err)
+		return true, w.reject(attempt.call, err)
 	}
-	started, err := w.start(attempt.startRequest(status.Remaining))
-	if refusable(err) {
-		return true, w.refuse(attempt.call, err)
+	started, err := w.recordStart(attempt.startRequest(status.Remaining))
+	if isFinalRejection(err) {
+		return true, w.reject(attempt.call, err)
 	}
 	if err != nil {
 		return false, err
@@ -159,7 +164,8 @@
 	return false, nil
 }
 
-// startRequest announces the attempt, with what is left of the budget given.
+// startRequest returns the request that records the start of the attempt. left is the
+// remaining budget.
 func (a *modelAttempt) startRequest(left structs.Amount) program.StartRequest {
 	return program.StartRequest{
 		Program:           a.call.Program,
@@ -168,83 +174,83 @@
 		TargetIncarnation: a.choice.Incarnation,
 		TargetAddress:     a.choice.Address,
 		DispatchKey:       dispatchKey(a.call),
-		Reserve:           a.reservation(left),
+		Reserve:           a.maxCost(left),
 		MayCache:          true,
 	}
 }
 
-// prospect describes the attempt to the scheduler.
-func (a *modelAttempt) prospect() prospect {
-	return prospect{
+// describeCall describes the call to the scheduler.
+func (a *modelAttempt) describeCall() callDescription {
+	return callDescription{
 		model:           structs.ModelName(a.call.Target),
 		adapter:         a.call.Adapter,
-		promptTokens:    a.prompt,
+		promptTokens:    a.promptTokens,
 		maxAnswerTokens: a.call.MaxAnswerTokens,
 		pauseHint:       a.call.ExpectedPause,
 		firstInput:      a.segments[0],
 	}
 }
 
-// reservation is the most that the attempt can cost. Its time is bounded by
-// what is left, and the attempt is stopped when that is over.
-func (a *modelAttempt) reservation(left structs.Amount) structs.Amount {
-	tokens := a.prompt + a.call.MaxAnswerTokens
+// maxCost returns the maximum cost of the attempt, which is reserved. The attempt is
+// stopped when its reserved time is over, so that time is limited to what is left.
+func (a *modelAttempt) maxCost(left structs.Amount) structs.Amount {
+	tokens := a.promptTokens + a.call.MaxAnswerTokens
 	return structs.Amount{
 		Tokens:       tokens,
-		CostMicros:   tokenCost(tokens, a.price),
+		CostMicros:   tokenCost(tokens, a.pricePerMillionTokens),
 		Turns:        1,
 		Milliseconds: max(min(modelCallTimeout.Milliseconds(), left.Milliseconds), 1),
 	}
 }
 
-// findEngine asks the policy, and again for a bounded time while no engine is
-// there; reports of engines are late.
+// findEngine asks the scheduling policy for an engine. It retries for a limited time
+// while no engine is available, because reports of engines arrive with a delay.
 func (w *worker) findEngine(attempt *modelAttempt, status program.Status, excluded map[structs.EngineID]bool) error {
-	began := time.Now()
-	deadline := began.Add(engineSearchTimeout)
-	request := w.shard.scheduleRequest(status, attempt.prospect())
+	searchStart := time.Now()
+	deadline := searchStart.Add(engineSearchTimeout)
+	request := w.shard.newScheduleRequest(status, attempt.describeCall())
 	request.Excluded = excluded
 	for {
-		choice, err := w.shard.executor.choose(request)
-		if err == nil && choice.Defer > 0 && time.Since(began) < holdTimeout {
+		choice, err := w.shard.executor.chooseEngine(request)
+		if err == nil && choice.Defer > 0 && time.Since(searchStart) < maxDeferTime {
 			if !pause.For(w.context, choice.Defer) {
-				return w.shard.notLeader()
+				return w.shard.notLeaderError()
 			}
 			continue
 		}
 		if err == nil {
-			err = w.shard.mayRest(choice, status)
+			err = w.shard.permitCachePlacement(choice, status)
 		}
 		if err == nil {
-			w.assign(attempt, choice, request, status)
+			w.assignEngine(attempt, choice, request, status)
 			return nil
 		}
 		w.shard.executor.options.Engines.RequestEngines(status.CacheZones, request.Model)
-		known, isFailure := failure.As(err)
-		searching := isFailure && known.Retry().Allowed
-		if !searching || time.Now().After(deadline) || !pause.For(w.context, engineSearchDelay) {
+		classified, isFailure := failure.As(err)
+		searching := isFailure && classified.Retry().Allowed
+		if !searching || time.Now().After(deadline) || !pause.For(w.context, engineSearchInterval) {
 			return err
 		}
 		clear(excluded)
 	}
 }
 
-// streamModel sends the attempt, or takes its stream up again, and settles it.
-// again says that the attempt is lost and the call can be sent once more.
-func (w *worker) streamModel(attempt *modelAttempt) (again bool, err error) {
+// streamAttempt sends the attempt, or resumes its stream, and settles it. retry
+// reports that the attempt was lost and the call can be sent again.
+func (w *worker) streamAttempt(attempt *modelAttempt) (retry bool, err error) {
 	call := attempt.call
 	deadline := call.StartedAt.Add(time.Duration(call.Reserved.Milliseconds) * time.Millisecond)
 	ctx, cancel := context.WithDeadline(w.context, deadline)
 	defer cancel()
-	stopWatching := w.watchAbandon(ctx, cancel, call.Number)
+	stopWatching := w.cancelWhenAbandoned(ctx, cancel, call.Number)
 	defer stopWatching()
-	end := w.shard.executor.options.Engines.StreamStarted(structs.EngineID(call.TargetID), attempt.missing)
-	defer end()
+	endStream := w.shard.executor.options.Engines.StreamStarted(structs.EngineID(call.TargetID), attempt.uncachedTokens)
+	defer endStream()
 
 	w.moveCache(ctx, attempt)
-	usage, err := w.receive(ctx, attempt)
+	usage, err := w.receiveAnswer(ctx, attempt)
 	if w.context.Err() != nil {
-		return false, w.shard.notLeader()
+		return false, w.shard.notLeaderError()
 	}
 	if err == nil {
 		return false, w.settleFinished(attempt, usage)
@@ -252,39 +258,40 @@
 	return w.settleLost(ctx, attempt, err)
 }
 
-// settleFinished records the answer; only then is it complete for any reader.
+// settleFinished records the answer. Only then is it complete for any reader.
 func (w *worker) settleFinished(attempt *modelAttempt, usage engine.Usage) error {
 	call := attempt.call
 	tokens := usage.PromptTokens + usage.AnswerTokens
-	err := w.finish(program.FinishRequest{
+	err := w.recordFinish(program.FinishRequest{
 		Program:      call.Program,
 		Number:       call.Number,
 		Attempt:      call.Attempt,
-		Answer:       w.shard.liveText(call),
+		Answer:       w.shard.bufferedText(call),
 		PromptTokens: usage.PromptTokens,
 		AnswerTokens: usage.AnswerTokens,
 		ReusedTokens: usage.ReusedTokens,
 		Spent: structs.Amount{
 			Tokens:       tokens,
-			CostMicros:   tokenCost(tokens, attempt.price),
-			Milliseconds: elapsed(call.StartedAt),
+			CostMicros:   tokenCost(tokens, attempt.pricePerMillionTokens),
+			Milliseconds: elapsedMilliseconds(call.StartedAt),
 		},
 	})
 	if err != nil {
 		return err
 	}
-	w.shard.executor.retries.RecordSuccess(time.Now())
-	w.shard.endLive(call)
-	w.shard.noteAnswered(call.Program, structs.EngineID(call.TargetID), tokens)
+	w.shard.executor.retryBudget.RecordSuccess(time.Now())
+	w.shard.dropAnswerBuffer(call)
+	w.shard.recordCachedTokens(call.Program, structs.EngineID(call.TargetID), tokens)
 	return nil
 }
 
-// settleLost takes an attempt back that brought no whole answer. What it cost
-// is not known, so the whole reservation counts as spent, unless the engine
-// refused it. An attempt that was stopped here says nothing against its engine.
-func (w *worker) settleLost(ctx context.Context, attempt *modelAttempt, cause error) (again bool, err error) {
+// settleLost settles an attempt that did not return a complete answer. Its cost is
+// unknown, so the whole reservation counts as spent, unless the engine rejected the
+// attempt. An attempt that this daemon stopped is not reported as a failure of the
+// engine.
+func (w *worker) settleLost(ctx context.Context, attempt *modelAttempt, cause error) (retry bool, err error) {
 	call := attempt.call
-	known := failure.Classify(cause)
+	classified := failure.Classify(cause)
 	if ctx.Err() == nil {
 		w.shard.executor.options.Engines.ReportFailure(structs.EngineID(call.TargetID))
 	}
@@ -292,13 +299,13 @@
 		Program:       call.Program,
 		Number:        call.Number,
 		Attempt:       call.Attempt,
-		FailureType:   known.Type(),
-		FailureDetail: known.Error(),
+		FailureType:   classified.Type(),
+		FailureDetail: classified.Error(),
 	}
-	if known.Outcome() != failure.NotRun || attempt.taken {
+	if classified.Outcome() != failure.NotRun || attempt.startedByFormerLeader {
 		request.GivenUp = true
 		request.Spent = call.Reserved
-		request.Spent.Milliseconds = min(elapsed(call.StartedAt), call.Reserved.Milliseconds)
+		request.Spent.Milliseconds = min(elapsedMilliseconds(call.StartedAt), call.Reserved.Milliseconds)
 	}
 	request.Final = ctx.Err() != nil || call.Attempt >= maxModelAttempts
 	if ctx.Err() != nil {
@@ -307,22 +314,22 @@
 	if request.GivenUp && !call.Repeatable && !call.AbandonRequested && !request.Final {
 		request.Final = true
 	}
-	if err := w.notRunOrUnknown(call, request); err != nil {
+	if err := w.recordLostAttempt(call, request); err != nil {
 		return false, err
 	}
 	if request.Final {
-		w.shard.endLive(call)
+		w.shard.dropAnswerBuffer(call)
 	}
 	eventAttemptLost.Log("program", call.Program, "call", call.Number, "attempt", call.Attempt,
-		"engine", call.TargetID, "failure", known.Type(), "final", request.Final)
+		"engine", call.TargetID, "failure", classified.Type(), "final", request.Final)
 	return !request.Final, nil
 }
 
-// notRunOrUnknown records the request; a call that is not repeatable and may
-// have run is recorded as of unknown outcome.
-func (w *worker) notRunOrUnknown(call *program.Call, request program.NotRunRequest) error {
+// recordLostAttempt records the request. A call that is not repeatable and may have
+// run is recorded with an unknown outcome.
+func (w *worker) recordLostAttempt(call *program.Call, request program.NotRunRequest) error {
 	if request.GivenUp && !call.Repeatable {
-		return w.unknown(call, request.FailureDetail)
+		return w.recordUnknownOutcome(call, request.FailureDetail)
 	}
-	return w.notRun(request)
+	return w.recordNotRun(request)
 }
--- a/internal/executor/model_stream.go
+++ b/internal/executor/model_stream.go
@@ -16,47 +16,47 @@
 )
 
 const (
-	// maxResumes bounds how often a broken stream is taken up at its engine.
-	maxResumes  = 5
-	resumeDelay = 50 * time.Millisecond
-	// cancelTimeout bounds telling an engine that a stream is not wanted.
+	// maxStreamResumes limits how often a broken stream is resumed at its engine.
+	maxStreamResumes = 5
+	resumeDelay      = 50 * time.Millisecond
+	// cancelTimeout limits the request that cancels a stream at an engine.
 	cancelTimeout = 2 * time.Second
 )
 
-// receive reads the attempt's stream to its end into the live answer. The
-// stream's id makes a repeated sending the same stream, so that a new leader,
-// or this one after a broken connection, sends the same request again.
-func (w *worker) receive(ctx context.Context, attempt *modelAttempt) (engine.Usage, error) {
-	live := w.shard.liveFor(attempt.call)
-	live.begin(attempt.call.Attempt)
-	var lost error
-	for try := 0; try <= maxResumes; try++ {
-		if try > 0 && !pause.For(ctx, resumeDelay<<try) {
-			return engine.Usage{}, lost
+// receiveAnswer reads the attempt's stream to its end into the answer buffer. Sending
+// the same stream ID again continues the same stream. A new leader, or this one after
+// a broken connection, therefore sends the same request again.
+func (w *worker) receiveAnswer(ctx context.Context, attempt *modelAttempt) (engine.Usage, error) {
+	buffer := w.shard.answerBuffer(attempt.call)
+	buffer.beginAttempt(attempt.call.Attempt)
+	var lastErr error
+	for resumes := 0; resumes <= maxStreamResumes; resumes++ {
+		if resumes > 0 && !pause.For(ctx, resumeDelay<<resumes) {
+			return engine.Usage{}, lastErr
 		}
-		usage, err := w.receiveOnce(ctx, attempt, live)
+		usage, err := w.receiveOnce(ctx, attempt, buffer)
 		if err == nil {
 			return usage, nil
 		}
-		lost = err
-		if !resumable(err) || ctx.Err() != nil {
+		lastErr = err
+		if !isResumable(err) || ctx.Err() != nil {
 			return engine.Usage{}, err
 		}
 	}
-	return engine.Usage{}, lost
+	return engine.Usage{}, lastErr
 }
 
-// resumable reports whether the same stream may still be had from its engine.
-func resumable(err error) bool {
+// isResumable reports whether the engine may still have the stream.
+func isResumable(err error) bool {
 	if failure.IsType(err, (&failure.EngineGone{}).Type()) {
 		return false
 	}
-	known, ok := failure.As(err)
-	return !ok || known.Outcome() != failure.NotRun
+	classified, ok := failure.As(err)
+	return !ok || classified.Outcome() != failure.NotRun
 }
 
-func (w *worker) receiveOnce(ctx context.Context, attempt *modelAttempt, live *liveAnswer) (engine.Usage, error) {
-	stream, err := w.openStream(ctx, attempt, live)
+func (w *worker) receiveOnce(ctx context.Context, attempt *modelAttempt, buffer *answerBuffer) (engine.Usage, error) {
+	stream, err := w.openStream(ctx, attempt, buffer)
 	if err != nil {
 		return engine.Usage{}, err
 	}
@@ -69,20 +69,20 @@
 		if err != nil {
 			return engine.Usage{}, err
 		}
-		live.write(attempt.call.Attempt, chunk.Offset, chunk.Text)
+		buffer.write(attempt.call.Attempt, chunk.Offset, chunk.Text)
 		if chunk.Done {
 			return chunk.Usage, nil
 		}
 	}
 }
 
-// openStream resumes a stream that has brought text, and sends the request
+// openStream resumes a stream from which text was received, and sends the request
 // otherwise.
-func (w *worker) openStream(ctx context.Context, attempt *modelAttempt, live *liveAnswer) (*engine.Stream, error) {
+func (w *worker) openStream(ctx context.Context, attempt *modelAttempt, buffer *answerBuffer) (*engine.Stream, error) {
 	call := attempt.call
 	client := w.shard.executor.options.EngineClient
-	if have := live.length(); have > 0 {
-		return client.Resume(ctx, call.TargetAddress, call.DispatchKey, have)
+	if received := buffer.length(); received > 0 {
+		return client.Resume(ctx, call.TargetAddress, call.DispatchKey, received)
 	}
 	return client.Generate(ctx, call.TargetAddress, engine.GenerateRequest{
 		Holder:             call.Program,
@@ -97,13 +97,13 @@
 	})
 }
 
-// watchAbandon cancels the attempt when its caller gives it up or its program
-// ends. The returned function stops the watch.
-func (w *worker) watchAbandon(ctx context.Context, cancel context.CancelFunc, number structs.CallNumber) func() {
+// cancelWhenAbandoned cancels the attempt when its caller cancels the call or its
+// program ends. The returned function stops watching.
+func (w *worker) cancelWhenAbandoned(ctx context.Context, cancel context.CancelFunc, number structs.CallNumber) func() {
 	watching, stop := context.WithCancel(ctx)
-	w.shard.executor.task(func() {
+	w.shard.executor.runInBackground(func() {
 		for {
-			changed, abandoned := w.abandoned(number)
+			changed, abandoned := w.isAbandoned(number)
 			if abandoned {
 				cancel()
 				return
@@ -118,24 +118,24 @@
 	return stop
 }
 
-func (w *worker) abandoned(number structs.CallNumber) (<-chan struct{}, bool) {
+func (w *worker) isAbandoned(number structs.CallNumber) (<-chan struct{}, bool) {
 	s := w.shard
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	call, exists := s.machine.Call(w.program, number)
-	return s.watch(w.program), exists && call.AbandonRequested
+	return s.changeChannel(w.program), exists && call.AbandonRequested
 }
 
-// cancelStream tells the engine to stop. The release of the program's memory
-// does not depend on it.
+// cancelStream tells the engine to stop the stream. The release of the program's
+// memory does not depend on it.
 func (w *worker) cancelStream(call *program.Call) {
 	ctx, cancel := context.WithTimeout(w.context, cancelTimeout)
 	defer cancel()
 	_ = w.shard.executor.options.EngineClient.Cancel(ctx, call.TargetAddress, call.DispatchKey)
 }
 
-// moveSource returns the address of the engine to copy cache from, or "" where
-// the policy wants none or residency forbids the export.
+// moveSource returns the address of the engine to copy the cache from, or "" if the
+// policy chose none or the placement rules forbid the export.
 func (w *worker) moveSource(choice schedule.Choice, status program.Status) string {
 	if choice.MoveFrom == "" || choice.MoveFrom == choice.Engine {
 		return ""
@@ -148,10 +148,10 @@
 	return w.shard.executor.engineAddress(choice.MoveFrom)
 }
 
-// moveCache copies the program's cache to the chosen engine. A failure costs
-// time alone: the engine prefills what it lacks.
+// moveCache copies the program's cache to the chosen engine. A failure only costs
+// time, because the engine prefills what is missing.
 func (w *worker) moveCache(ctx context.Context, attempt *modelAttempt) {
-	if attempt.moveFrom == "" || attempt.taken {
+	if attempt.moveSourceAddress == "" || attempt.startedByFormerLeader {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
@@ -159,10 +159,10 @@
 	_, err := w.shard.executor.options.EngineClient.ImportKV(ctx, attempt.call.TargetAddress, engine.ImportRequest{
 		Incarnation:        attempt.call.TargetIncarnation,
 		Holder:             w.program,
-		Source:             attempt.moveFrom,
+		Source:             attempt.moveSourceAddress,
 		RetainMilliseconds: attempt.choice.Retain.Milliseconds(),
 	})
 	if err != nil {
-		eventMoveFailed.Log("program", w.program, "from", attempt.moveFrom, "to", attempt.call.TargetID, "cause", err)
+		eventMoveFailed.Log("program", w.program, "from", attempt.moveSourceAddress, "to", attempt.call.TargetID, "cause", err)
 	}
 }
--- a/internal/executor/opening.go
+++ b/internal/executor/open_request.go
@@ -14,18 +14,19 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// resolveOpening applies the declarations in force to an opening: who may run
-// the program, within which budget, and in which placement domain.
-func (e *Executor) resolveOpening(ctx context.Context, tenant structs.TenantID, request caller.OpenRequest) (openBody, structs.ProgramID, error) {
+// resolveOpenRequest applies the active declarations to a request to open a program.
+// It returns the request for the leader, with the resolved limits and zones, and the
+// ID of the program in its placement domain.
+func (e *Executor) resolveOpenRequest(ctx context.Context, tenant structs.TenantID, request caller.OpenRequest) (openBody, structs.ProgramID, error) {
 	configuration := e.options.Configuration()
 	if configuration == nil {
 		return openBody{}, "", &failure.NotReady{Missing: "configuration"}
 	}
-	declared, err := declaredProgram(configuration, tenant, request.Program)
+	declared, err := permittedAgentProgram(configuration, tenant, request.Program)
 	if err != nil {
 		return openBody{}, "", err
 	}
-	body, err := boundOpening(declared, request)
+	body, err := applyDeclaredBounds(declared, request)
 	if err != nil {
 		return openBody{}, "", err
 	}
@@ -40,7 +41,7 @@
 	return body, structs.NewProgramID(domain, tenant, request.Key), nil
 }
 
-func declaredProgram(configuration *structs.Configuration, tenant structs.TenantID, name structs.ProgramName) (structs.AgentProgram, error) {
+func permittedAgentProgram(configuration *structs.Configuration, tenant structs.TenantID, name structs.ProgramName) (structs.AgentProgram, error) {
 	for _, declared := range configuration.Declarations.Programs {
 		if declared.Name == name && slices.Contains(declared.Tenants, tenant) {
 			return declared, nil
@@ -49,17 +50,17 @@
 	return structs.AgentProgram{}, &failure.NotPermitted{What: "program " + string(name)}
 }
 
-// boundOpening narrows the declared bounds by those the caller asks for. A
-// caller can narrow a bound and never widen it.
-func boundOpening(declared structs.AgentProgram, request caller.OpenRequest) (openBody, error) {
+// applyDeclaredBounds combines the declared limits with those that the caller
+// requests. A caller can only narrow a limit.
+func applyDeclaredBounds(declared structs.AgentProgram, request caller.OpenRequest) (openBody, error) {
 	body := openBody{
 		Request:      request,
 		Budget:       declared.Budget,
 		DeadlineMS:   declared.DeadlineMilliseconds,
 		IdleMS:       declared.IdleMilliseconds,
 		Priority:     declared.Priority,
-		HistoryZones: narrowZones(declared.HistoryZones, request.HistoryZones),
-		CacheZones:   narrowZones(declared.CacheZones, request.CacheZones),
+		HistoryZones: intersectZones(declared.HistoryZones, request.HistoryZones),
+		CacheZones:   intersectZones(declared.CacheZones, request.CacheZones),
 	}
 	if request.Budget != nil {
 		if !request.Budget.Within(declared.Budget) {
@@ -68,7 +69,7 @@
 		body.Budget = *request.Budget
 	}
 	if request.DeadlineMilliseconds > 0 {
-		body.DeadlineMS = min(request.DeadlineMilliseconds, positiveOr(declared.DeadlineMilliseconds, request.DeadlineMilliseconds))
+		body.DeadlineMS = min(request.DeadlineMilliseconds, positiveOrDefault(declared.DeadlineMilliseconds, request.DeadlineMilliseconds))
 	}
 	if len(body.HistoryZones) == 0 {
 		return openBody{}, &failure.NotPermitted{What: "history outside the declared zones"}
@@ -79,38 +80,38 @@
 	return body, nil
 }
 
-func positiveOr(value, fallback int64) int64 {
+func positiveOrDefault(value, fallback int64) int64 {
 	if value > 0 {
 		return value
 	}
 	return fallback
 }
 
-// narrowZones returns the zones of asked that are declared; asking for none
-// means all.
-func narrowZones(declared, asked []structs.ZoneName) []structs.ZoneName {
-	if len(asked) == 0 {
+// intersectZones returns the requested zones that are declared. Without requested
+// zones it returns all declared ones.
+func intersectZones(declared, requested []structs.ZoneName) []structs.ZoneName {
+	if len(requested) == 0 {
 		return declared
 	}
-	narrowed := make([]structs.ZoneName, 0, len(asked))
-	for _, zone := range asked {
+	zones := make([]structs.ZoneName, 0, len(requested))
+	for _, zone := range requested {
 		if slices.Contains(declared, zone) {
-			narrowed = append(narrowed, zone)
+			zones = append(zones, zone)
 		}
 	}
-	return narrowed
+	return zones
 }
 
-// resolveChild places a sub-agent in its parent's shard, where its history may
-// rest only if the whole of the parent's domain is permitted to it.
+// resolveChild places a sub-agent in its parent's shard. Its history is stored there,
+// so it must be permitted in the whole domain of the parent.
 func (e *Executor) resolveChild(_ context.Context, configuration *structs.Configuration, tenant structs.TenantID, body openBody) (structs.ProgramID, error) {
 	parent := body.Request.Parent
 	shard, err := parent.Shard()
 	if err != nil {
 		return "", &failure.UnknownProgram{Program: string(parent)}
 	}
-	domain, known := placement.DomainOfShard(configuration.Domains, shard)
-	if !known {
+	domain, found := placement.DomainOfShard(configuration.Domains, shard)
+	if !found {
 		return "", &failure.UnknownProgram{Program: string(parent)}
 	}
 	if err := placement.CheckDomain(placement.Policy{HistoryZones: body.HistoryZones}, domain); err != nil {
@@ -119,9 +120,9 @@
 	return structs.NewChildID(parent, string(tenant)+"\x00"+body.Request.Key)
 }
 
-// openRequest builds the state machine's request. Times count from now, by the
-// leader's clock.
-func (b openBody) openRequest(now time.Time, tenant structs.TenantID, id structs.ProgramID) program.OpenRequest {
+// programRequest returns the request for the state machine. Durations count from now,
+// by the leader's clock.
+func (b openBody) programRequest(now time.Time, tenant structs.TenantID, id structs.ProgramID) program.OpenRequest {
 	request := program.OpenRequest{
 		ID:             id,
 		Tenant:         tenant,
--- a/internal/executor/operation.go
+++ b/internal/executor/operation.go
@@ -8,7 +8,8 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// operationName is the kind of a request that one daemon forwards to another.
+// operationName identifies the kind of an operation that daemons forward to each
+// other.
 type operationName string
 
 const (
@@ -21,18 +22,18 @@
 	operationOrphans operationName = "orphans"
 )
 
-// operation is one request to the leader of a shard. Every operation may be
-// sent again: openings are told apart by key, calls by number and content.
+// operation is one request to the leader of a shard. Every operation can be resent:
+// opens are deduplicated by key, calls by number and content.
 type operation struct {
 	name    operationName
 	tenant  structs.TenantID
 	program structs.ProgramID
-	// body is the operation's own argument in JSON.
+	// body is the operation's argument, encoded as JSON.
 	body []byte
 }
 
-// openBody is an opening with everything that the declarations decided, so
-// that the leader does not decide it again under another configuration.
+// openBody is a request to open a program, with all values resolved from the
+// declarations, because the leader might have another configuration.
 type openBody struct {
 	Request      caller.OpenRequest `json:"request"`
 	Budget       structs.Amount     `json:"budget"`
@@ -43,12 +44,12 @@
 	CacheZones   []structs.ZoneName `json:"cacheZones"`
 }
 
-// callBody is a call.
+// callBody is a request to make a call.
 type callBody struct {
 	Request caller.CallRequest `json:"request"`
 }
 
-// readBody asks for the answer of a call.
+// readBody is a request to read the answer of a call.
 type readBody struct {
 	Number structs.CallNumber `json:"number"`
 }
@@ -57,19 +58,19 @@
 	Number structs.CallNumber `json:"number"`
 }
 
-// orphansBody lists programs that an engine holds memory for.
+// orphansBody lists the programs for which an engine holds memory.
 type orphansBody struct {
 	Engine      structs.EngineID    `json:"engine"`
 	Incarnation structs.Incarnation `json:"incarnation"`
 	Programs    []structs.ProgramID `json:"programs"`
 }
 
-// orphansAnswer lists those that the journal knows no hold of.
+// orphansAnswer lists the programs for which the journal has no hold.
 type orphansAnswer struct {
 	Orphans []structs.ProgramID `json:"orphans"`
 }
 
-// encodeBody encodes one of the structs above, which cannot fail to encode.
+// encodeBody encodes one of the types above. Their encoding cannot fail.
 func encodeBody(body any) []byte {
 	encoded, err := json.Marshal(body)
 	if err != nil {
--- a/internal/executor/orphans.go
+++ b/internal/executor/orphans.go
@@ -8,10 +8,10 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// Orphans returns those programs, of the ones that an incarnation of an engine
-// holds memory for, which the journal has no hold of. A hold is recorded before
-// the engine can cache anything, so these hold memory for nobody. Programs
-// whose shard gives no answer are left out: nothing is known of them.
+// Orphans returns those of holders, the programs for which an incarnation of an engine
+// holds memory, that have no hold in the journal. A hold is recorded before the engine
+// can cache anything, so nobody uses this memory. Programs of shards that do not
+// answer are omitted, because their state is unknown.
 func (e *Executor) Orphans(ctx context.Context, id structs.EngineID, incarnation structs.Incarnation, holders []structs.ProgramID) []structs.ProgramID {
 	byShard := map[structs.ShardID][]structs.ProgramID{}
 	var orphans []structs.ProgramID
@@ -32,16 +32,17 @@
 func (e *Executor) orphansOfShard(ctx context.Context, id structs.EngineID, incarnation structs.Incarnation, programs []structs.ProgramID) []structs.ProgramID {
 	body := encodeBody(orphansBody{Engine: id, Incarnation: incarnation, Programs: programs})
 	answer := orphansAnswer{}
-	sink := replySink{body: func(encoded []byte) error { return json.Unmarshal(encoded, &answer) }}
+	sink := replySink{onBody: func(encoded []byte) error { return json.Unmarshal(encoded, &answer) }}
 	op := operation{name: operationOrphans, program: programs[0], body: body}
-	if err := e.run(ctx, op, sink); err != nil {
+	if err := e.execute(ctx, op, sink); err != nil {
 		return nil
 	}
 	return answer.Orphans
 }
 
-// serveOrphans answers for this shard. The quorum round trip makes sure that
-// no later leader has recorded a hold that is missing here.
+// serveOrphans answers for the programs of this shard. It confirms the leadership with
+// a quorum first, so that no later leader can have recorded a hold that is missing
+// here.
 func (s *shard) serveOrphans(ctx context.Context, op operation, sink replySink) error {
 	body := orphansBody{}
 	if err := decodeBody(op.body, &body); err != nil {
@@ -51,9 +52,9 @@
 		return err
 	}
 	answer := orphansAnswer{}
-	err := s.inspect(func(machine *program.Machine) error {
+	err := s.readState(func(machine *program.Machine) error {
 		for _, id := range body.Programs {
-			if !heldBy(machine.ProgramHolds(id), body) {
+			if !containsHold(machine.ProgramHolds(id), body) {
 				answer.Orphans = append(answer.Orphans, id)
 			}
 		}
@@ -65,10 +66,10 @@
 	for _, id := range answer.Orphans {
 		eventOrphan.Log("program", id, "engine", body.Engine)
 	}
-	return sink.body(encodeBody(answer))
+	return sink.onBody(encodeBody(answer))
 }
 
-func heldBy(holds []program.CacheHold, body orphansBody) bool {
+func containsHold(holds []program.CacheHold, body orphansBody) bool {
 	for _, hold := range holds {
 		if hold.Engine == body.Engine && hold.Incarnation == body.Incarnation {
 			return true
--- a/internal/executor/quiesce.go
+++ b/internal/executor/quiesce.go
@@ -5,58 +5,60 @@
 	"sync"
 )
 
-// quiescence stops new dispatches before a planned stop and tells when the
-// tool calls under way have ended: a tool's answer cannot be taken up by
-// another daemon, while a model's stream can.
+// quiescence prevents new dispatches before a planned stop and reports when the tool
+// calls in progress have ended. Another daemon cannot take over the answer of a tool,
+// but it can resume the stream of a model.
 type quiescence struct {
-	mutex   sync.Mutex
-	stopped bool
-	inside  int
-	empty   chan struct{}
+	mutex     sync.Mutex
+	stopping  bool
+	toolCalls int
+	drained   chan struct{}
 }
 
-func (q *quiescence) active() bool {
+func (q *quiescence) isStopping() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.stopped
+	return q.stopping
 }
 
-// enter counts a tool call in and returns the function that counts it out.
-func (q *quiescence) enter() func() {
+// beginToolCall counts a tool call in progress and returns the function that ends it.
+func (q *quiescence) beginToolCall() func() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.inside++
-	return q.leave
+	q.toolCalls++
+	return q.endToolCall
 }
 
-func (q *quiescence) leave() {
+func (q *quiescence) endToolCall() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.inside--
-	if q.inside == 0 && q.empty != nil {
-		close(q.empty)
-		q.empty = nil
+	q.toolCalls--
+	if q.toolCalls == 0 && q.drained != nil {
+		close(q.drained)
+		q.drained = nil
 	}
 }
 
+// stop prevents new dispatches and returns a channel that is closed once no tool call
+// is in progress.
 func (q *quiescence) stop() <-chan struct{} {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.stopped = true
+	q.stopping = true
 	done := make(chan struct{})
-	if q.inside == 0 {
+	if q.toolCalls == 0 {
 		close(done)
 		return done
 	}
-	q.empty = done
+	q.drained = done
 	return done
 }
 
-// Quiesce begins no further dispatch here and returns once no tool call is
-// under way, or with ctx. Calls accepted meanwhile wait for the next leader.
+// Quiesce stops dispatching calls on this daemon. It returns when no tool call is in
+// progress, or when ctx ends. Calls accepted from now on wait for the next leader.
 func (e *Executor) Quiesce(ctx context.Context) error {
 	select {
-	case <-e.quiesced.stop():
+	case <-e.quiescence.stop():
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/executor/read.go
+++ b/internal/executor/read.go
@@ -9,23 +9,24 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// answerView is one look at a call's answer.
+// answerView is a snapshot of a call's answer and the channels that signal changes to
+// it.
 type answerView struct {
 	answer program.CallResult
-	// live is the text so far of a started model call; nil otherwise.
-	live *liveAnswer
+	// buffer has the text so far of a started model call; nil otherwise.
+	buffer *answerBuffer
 	// changed is closed at the program's next record.
 	changed <-chan struct{}
-	// over ends with the leadership.
-	over <-chan struct{}
+	// leadershipEnded is closed when the leadership ends.
+	leadershipEnded <-chan struct{}
 }
 
-// followAnswer sends the answer of a call as it comes, and returns once the
-// answer is complete in the journal. Where the leadership ends first, the error
-// is a *failure.NotLeader and the reader goes on at the next leader.
+// followAnswer streams the answer of a call and returns once the answer is complete in
+// the journal. If the leadership ends first, it returns a *failure.NotLeader error and
+// the reader continues at the next leader.
 func (s *shard) followAnswer(ctx context.Context, op operation, number structs.CallNumber, sink replySink) error {
 	for {
-		view, err := s.viewAnswer(op, number)
+		view, err := s.newAnswerView(op, number)
 		if err != nil {
 			return err
 		}
@@ -35,96 +36,96 @@
 		if view.answer.State == program.Accepted {
 			s.startWorker(op.tenant, op.program)
 		}
-		if err := s.followLive(ctx, view, sink); err != nil {
+		if err := s.followBuffer(ctx, view, sink); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *shard) viewAnswer(op operation, number structs.CallNumber) (answerView, error) {
+func (s *shard) newAnswerView(op operation, number structs.CallNumber) (answerView, error) {
 	view := answerView{}
-	err := s.inspect(func(machine *program.Machine) error {
+	err := s.readState(func(machine *program.Machine) error {
 		answer, err := machine.CallResult(op.tenant, op.program, number)
 		if err != nil {
 			return err
 		}
 		view.answer = answer
 		if answer.State == program.Started && answer.Kind == program.ModelCall {
-			view.live = s.liveOf(callKey{op.program, number})
+			view.buffer = s.answerBufferForKey(callKey{op.program, number})
 		}
-		view.changed = s.watch(op.program)
-		view.over = s.context.Done()
+		view.changed = s.changeChannel(op.program)
+		view.leadershipEnded = s.context.Done()
 		return nil
 	})
 	return view, err
 }
 
-// followLive sends what comes until the program's next record.
-func (s *shard) followLive(ctx context.Context, view answerView, sink replySink) error {
+// followBuffer sends text as it arrives until the program's next record.
+func (s *shard) followBuffer(ctx context.Context, view answerView, sink replySink) error {
 	for {
-		more, err := sendLive(view.live, sink)
+		changed, err := sendBuffered(view.buffer, sink)
 		if err != nil {
 			return err
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-view.changed:
 			return nil
-		case <-view.over:
-			return s.notLeader()
+		case <-view.leadershipEnded:
+			return s.notLeaderError()
 		case <-ctx.Done():
 			return &failure.ProposalUnknown{Shard: uint32(s.id)}
 		}
 	}
 }
 
-// sendLive sends the text that the reader lacks and returns a channel that is
-// closed when there is more; nil while there is no live answer.
-func sendLive(live *liveAnswer, sink replySink) (<-chan struct{}, error) {
-	if live == nil {
+// sendBuffered sends the buffered text that the reader does not have yet. It returns a
+// channel that is closed when there is more text, or nil without a buffer.
+func sendBuffered(buffer *answerBuffer, sink replySink) (<-chan struct{}, error) {
+	if buffer == nil {
 		return nil, nil
 	}
 	for {
-		standing := sink.parts.cursor
-		attempt, text, more := live.read(standing.Offset)
+		position := sink.parts.cursor
+		attempt, text, changed := buffer.read(position.Offset)
 		if attempt == 0 {
-			return more, nil
+			return changed, nil
 		}
-		if standing.superseded(attempt) {
-			if err := sink.parts.Part(standing.partAt(attempt, nil)); err != nil {
+		if position.isSupersededBy(attempt) {
+			if err := sink.parts.Part(position.newPart(attempt, nil)); err != nil {
 				return nil, err
 			}
 			continue
 		}
 		if len(text) == 0 {
-			return more, nil
+			return changed, nil
 		}
-		if err := sink.parts.Part(standing.partAt(attempt, text)); err != nil {
+		if err := sink.parts.Part(position.newPart(attempt, text)); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// sendFinal sends the rest of a finished answer, or returns the failure that
-// the journal holds.
+// sendFinal sends the rest of a finished answer, or returns the failure recorded in
+// the journal.
 func sendFinal(answer program.CallResult, sink replySink) error {
 	if answer.State != program.Finished {
 		return finalFailure(answer)
 	}
-	standing := sink.parts.cursor
-	if standing.superseded(answer.Attempt) {
-		if err := sink.parts.Part(standing.partAt(answer.Attempt, nil)); err != nil {
+	position := sink.parts.cursor
+	if position.isSupersededBy(answer.Attempt) {
+		if err := sink.parts.Part(position.newPart(answer.Attempt, nil)); err != nil {
 			return err
 		}
-		standing = sink.parts.cursor
+		position = sink.parts.cursor
 	}
-	if standing.Offset > uint64(len(answer.Answer)) {
+	if position.Offset > uint64(len(answer.Answer)) {
 		return &failure.Malformed{Field: "offset", Reason: "beyond the end of the answer"}
 	}
 	return sink.parts.Part(caller.AnswerPart{
 		Attempt:      answer.Attempt,
-		Offset:       standing.Offset,
-		Text:         answer.Answer[standing.Offset:],
+		Offset:       position.Offset,
+		Text:         answer.Answer[position.Offset:],
 		Complete:     true,
 		PromptTokens: answer.PromptTokens,
 		AnswerTokens: answer.AnswerTokens,
@@ -132,8 +133,8 @@
 	})
 }
 
-// finalFailure is the failure of a call as the journal holds it: the same at
-// every repeat.
+// finalFailure returns the failure of a call as recorded in the journal. It is the
+// same every time.
 func finalFailure(answer program.CallResult) error {
 	kind := answer.FailureType
 	if kind == "" {
--- a/internal/executor/route.go
+++ b/internal/executor/route.go
@@ -11,77 +11,77 @@
 )
 
 const (
-	// maxHops bounds how often a request is forwarded: once to a member of the
-	// shard's group and once more from there to the leader.
+	// maxHops limits how often a request is forwarded: to a member of the shard's
+	// group, and from there to the leader.
 	maxHops = 2
-	// routeTimeout bounds the search for a leader that answers. Time spent in
-	// an answer that is being sent does not count.
-	routeTimeout = 8 * time.Second
-	routeDelay   = 20 * time.Millisecond
-	// acknowledgeTimeout is how soon a daemon says that it has a forwarded
-	// request. One that does not may be frozen; the member asked next finds out.
+	// routeTimeout limits the search for a leader that answers. Time during which the
+	// answer makes progress does not count.
+	routeTimeout  = 8 * time.Second
+	minRouteDelay = 20 * time.Millisecond
+	// acknowledgeTimeout is how long to wait for a daemon to acknowledge a forwarded
+	// request. A daemon that does not may be frozen; the request is then sent to
+	// another member, which finds the leader.
 	acknowledgeTimeout = 400 * time.Millisecond
-	maxDelay           = 250 * time.Millisecond
+	maxRouteDelay      = 250 * time.Millisecond
 )
 
-// replySink takes what the leader sends back: a body, or parts of an answer.
+// replySink receives the reply of the leader: a body, or the parts of an answer.
 type replySink struct {
-	body func([]byte) error
-	// parts is nil for operations without an answer.
+	onBody func([]byte) error
+	// parts is nil for operations that return no answer.
 	parts *cursorSink
 }
 
-// run carries an operation out at the leader of its shard, wherever that is,
-// and tries again while the leader changes. The error is a failure.Failure, or
-// the reader's own error.
-func (e *Executor) run(ctx context.Context, op operation, sink replySink) error {
+// execute executes an operation at the leader of its shard, and retries while the
+// leader changes. The error is a failure.Failure, or the error of the reader itself.
+func (e *Executor) execute(ctx context.Context, op operation, sink replySink) error {
 	shard, err := op.program.Shard()
 	if err != nil {
 		return &failure.UnknownProgram{Program: string(op.program)}
 	}
-	search := newSearch(shard)
+	search := newLeaderSearch(shard)
 	for {
-		err := e.attempt(ctx, shard, op, sink, 0, search.excluded)
-		if !search.again(ctx, err, sink) {
-			return search.verdict(err)
+		err := e.executeOnce(ctx, shard, op, sink, 0, search.avoidedNodes)
+		if !search.awaitRetry(ctx, err, sink) {
+			return search.finalError(err)
 		}
 	}
 }
 
-// attempt carries the operation out here when this daemon leads the shard, and
+// executeOnce executes the operation locally if this daemon leads the shard, and
 // forwards it otherwise.
-func (e *Executor) attempt(ctx context.Context, shard structs.ShardID, op operation, sink replySink, hops uint32, avoid map[structs.NodeID]bool) error {
-	target, err := e.locate(ctx, shard, hops, avoid)
+func (e *Executor) executeOnce(ctx context.Context, shard structs.ShardID, op operation, sink replySink, hops uint32, avoidedNodes map[structs.NodeID]bool) error {
+	target, err := e.locateTarget(ctx, shard, hops, avoidedNodes)
 	if err != nil {
 		return err
 	}
 	if target == e.options.Self.ID {
-		return e.local(ctx, shard, op, sink)
+		return e.executeLocally(ctx, shard, op, sink)
 	}
-	err = e.forward(ctx, target, op.wire(hops+1, sink), sink)
-	if err != nil && unreachable(err) {
-		avoid[target] = true
+	err = e.forward(ctx, target, op.forwardRequest(hops+1, sink), sink)
+	if err != nil && isPeerUnreachable(err) {
+		avoidedNodes[target] = true
 	}
 	return err
 }
 
-// forward runs the request at target. It is given up when target does not
-// acknowledge it soon, or is suspected later.
+// forward runs the request at target. It cancels the request if target does not
+// acknowledge it within acknowledgeTimeout, or is suspected later.
 func (e *Executor) forward(ctx context.Context, target structs.NodeID, request *peerv1.ForwardRequest, sink replySink) error {
-	ctx, done := e.forwards.begin(ctx, target)
+	ctx, done := e.forwardTracker.track(ctx, target)
 	defer done()
-	unacknowledged := time.AfterFunc(acknowledgeTimeout, done)
-	defer unacknowledged.Stop()
+	acknowledgeTimer := time.AfterFunc(acknowledgeTimeout, done)
+	defer acknowledgeTimer.Stop()
 	return e.options.Forwarder.Forward(ctx, target, request, func(event *peerv1.ForwardEvent) error {
-		unacknowledged.Stop()
+		acknowledgeTimer.Stop()
 		return sink.receive(event)
 	})
 }
 
-// locate returns the node to ask: the leader where this daemon holds a replica,
-// else a member of the group.
-func (e *Executor) locate(ctx context.Context, shard structs.ShardID, hops uint32, avoid map[structs.NodeID]bool) (structs.NodeID, error) {
-	if status, held := e.options.Replicator.Status(shard); held && !status.Removed {
+// locateTarget returns the node to send a request to: the leader if this daemon has a
+// replica, and otherwise a member of the group.
+func (e *Executor) locateTarget(ctx context.Context, shard structs.ShardID, hops uint32, avoidedNodes map[structs.NodeID]bool) (structs.NodeID, error) {
+	if status, hasReplica := e.options.Replicator.Status(shard); hasReplica && !status.Removed {
 		leader, err := e.options.Replicator.EnsureLeader(ctx, shard)
 		if err != nil {
 			return "", err
@@ -95,51 +95,51 @@
 		return "", &failure.NotLeader{Shard: uint32(shard)}
 	}
 	for _, node := range e.options.Directory.Members(shard) {
-		if node != e.options.Self.ID && !avoid[node] {
+		if node != e.options.Self.ID && !avoidedNodes[node] {
 			return node, nil
 		}
 	}
-	clear(avoid)
+	clear(avoidedNodes)
 	return "", &failure.ShardUnavailable{Shard: uint32(shard)}
 }
 
-// search is the state of one request's search for a leader.
-type search struct {
-	shard    structs.ShardID
-	excluded map[structs.NodeID]bool
-	delay    time.Duration
-	// deadline moves on whenever the reader made progress.
-	deadline time.Time
-	progress uint64
-	// unknown is set once an attempt may have taken effect.
-	unknown bool
+// leaderSearch is the state of the search for a leader that executes one request.
+type leaderSearch struct {
+	shard        structs.ShardID
+	avoidedNodes map[structs.NodeID]bool
+	nextDelay    time.Duration
+	// deadline is extended whenever the reader makes progress.
+	deadline   time.Time
+	lastOffset uint64
+	// mayHaveRun is set once an attempt may have taken effect.
+	mayHaveRun bool
 }
 
-func newSearch(shard structs.ShardID) *search {
-	return &search{
-		shard:    shard,
-		excluded: map[structs.NodeID]bool{},
-		delay:    routeDelay,
-		deadline: time.Now().Add(routeTimeout),
+func newLeaderSearch(shard structs.ShardID) *leaderSearch {
+	return &leaderSearch{
+		shard:        shard,
+		avoidedNodes: map[structs.NodeID]bool{},
+		nextDelay:    minRouteDelay,
+		deadline:     time.Now().Add(routeTimeout),
 	}
 }
 
-// again reports whether the operation is worth another attempt after err, and
-// waits before it.
-func (s *search) again(ctx context.Context, err error, sink replySink) bool {
-	if err == nil || ctx.Err() != nil || sink.gone() || !searchable(err) {
+// awaitRetry reports whether the operation should be retried after err, after waiting
+// for the retry delay.
+func (s *leaderSearch) awaitRetry(ctx context.Context, err error, sink replySink) bool {
+	if err == nil || ctx.Err() != nil || sink.readerFailed() || !isRetriable(err) {
 		return false
 	}
-	if known, ok := failure.As(err); ok && known.Outcome() == failure.OutcomeUnknown {
-		s.unknown = true
+	if classified, ok := failure.As(err); ok && classified.Outcome() == failure.OutcomeUnknown {
+		s.mayHaveRun = true
 	}
-	s.noteProgress(sink)
+	s.extendOnProgress(sink)
 	if time.Now().After(s.deadline) {
 		return false
 	}
-	timer := time.NewTimer(s.delay)
+	timer := time.NewTimer(s.nextDelay)
 	defer timer.Stop()
-	s.delay = min(2*s.delay, maxDelay)
+	s.nextDelay = min(2*s.nextDelay, maxRouteDelay)
 	select {
 	case <-timer.C:
 		return true
@@ -148,34 +148,35 @@
 	}
 }
 
-func (s *search) noteProgress(sink replySink) {
-	if sink.parts == nil || sink.parts.cursor.Offset == s.progress {
+func (s *leaderSearch) extendOnProgress(sink replySink) {
+	if sink.parts == nil || sink.parts.cursor.Offset == s.lastOffset {
 		return
 	}
-	s.progress = sink.parts.cursor.Offset
+	s.lastOffset = sink.parts.cursor.Offset
 	s.deadline = time.Now().Add(routeTimeout)
-	s.delay = routeDelay
+	s.nextDelay = minRouteDelay
 }
 
-// verdict is what the caller is told. A search in which an attempt may have
-// taken effect does not end as not run.
-func (s *search) verdict(err error) error {
-	if err == nil || !searchable(err) {
+// finalError returns the error for the caller. If an attempt may have taken effect,
+// the outcome is reported as unknown and not as not run.
+func (s *leaderSearch) finalError(err error) error {
+	if err == nil || !isRetriable(err) {
 		return err
 	}
-	if s.unknown || failure.Classify(err).Outcome() == failure.OutcomeUnknown {
+	if s.mayHaveRun || failure.Classify(err).Outcome() == failure.OutcomeUnknown {
 		return &failure.ProposalUnknown{Shard: uint32(s.shard)}
 	}
 	return &failure.ShardUnavailable{Shard: uint32(s.shard)}
 }
 
-// searchable reports whether another attempt may find a leader that answers.
-func searchable(err error) bool {
-	known, ok := failure.As(err)
+// isRetriable reports whether another attempt may find a leader that executes the
+// operation.
+func isRetriable(err error) bool {
+	classified, ok := failure.As(err)
 	if !ok {
 		return false
 	}
-	switch known.Type() {
+	switch classified.Type() {
 	case (&failure.NotLeader{}).Type(),
 		(&failure.ShardUnavailable{}).Type(),
 		(&failure.ProposalUnknown{}).Type(),
@@ -186,15 +187,15 @@
 	return false
 }
 
-func unreachable(err error) bool {
+func isPeerUnreachable(err error) bool {
 	return failure.IsType(err, peerUnreachableType)
 }
 
-func (s replySink) gone() bool {
-	return s.parts != nil && s.parts.failed != nil
+func (s replySink) readerFailed() bool {
+	return s.parts != nil && s.parts.readerError != nil
 }
 
-// readerGone reports whether err is the reader's own error.
-func readerGone(err error, sink replySink) bool {
-	return sink.gone() && errors.Is(err, sink.parts.failed)
+// isReaderError reports whether err is the error of the reader itself.
+func isReaderError(err error, sink replySink) bool {
+	return sink.readerFailed() && errors.Is(err, sink.parts.readerError)
 }
--- a/internal/executor/route_test.go
+++ b/internal/executor/route_test.go
@@ -15,14 +15,16 @@
 
 const testProgram = structs.ProgramID("00000001-00000000000000000000000000000001")
 
-// fakeReplicator holds what a daemon knows of one shard.
+// fakeReplicator has a fixed status of one shard.
 type fakeReplicator struct {
 	Replicator
-	status replication.Status
-	held   bool
+	status     replication.Status
+	hasReplica bool
 }
 
-func (f fakeReplicator) Status(structs.ShardID) (replication.Status, bool) { return f.status, f.held }
+func (f fakeReplicator) Status(structs.ShardID) (replication.Status, bool) {
+	return f.status, f.hasReplica
+}
 
 func (f fakeReplicator) EnsureLeader(_ context.Context, shard structs.ShardID) (structs.NodeID, error) {
 	if f.status.Leader == "" {
@@ -35,15 +37,15 @@
 
 func (f fakeDirectory) Members(structs.ShardID) []structs.NodeID { return f }
 
-// fakeForwarder answers at the nodes that it names; at others a request hangs
-// until its context ends, as at a daemon that is frozen.
+// fakeForwarder answers for the nodes in answering. A request to any other node blocks
+// until its context ends, as with a frozen daemon.
 type fakeForwarder struct {
 	answering map[structs.NodeID]bool
-	asked     chan structs.NodeID
+	requested chan structs.NodeID
 }
 
 func (f fakeForwarder) Forward(ctx context.Context, node structs.NodeID, _ *peerv1.ForwardRequest, receive func(*peerv1.ForwardEvent) error) error {
-	f.asked <- node
+	f.requested <- node
 	if f.answering[node] {
 		body := encodeBody(caller.ProgramStatus{ID: testProgram})
 		return receive(&peerv1.ForwardEvent{Event: &peerv1.ForwardEvent_Body{Body: body}})
@@ -58,51 +60,53 @@
 	})
 }
 
-// A request that a frozen daemon works on is given up when that daemon is
-// suspected, and answered elsewhere.
+// A request that was forwarded to a frozen daemon is cancelled when that daemon is
+// suspected, and sent to another member.
 func TestSuspectedNodeRequestIsRetriedElsewhere(t *testing.T) {
-	forwarder := fakeForwarder{answering: map[structs.NodeID]bool{"b": true}, asked: make(chan structs.NodeID)}
+	forwarder := fakeForwarder{answering: map[structs.NodeID]bool{"b": true}, requested: make(chan structs.NodeID)}
 	e := testExecutor(fakeReplicator{}, forwarder, "frozen", "b")
 	answered := make(chan error)
 	go func() {
 		_, err := e.Status(t.Context(), "tenant", testProgram)
 		answered <- err
 	}()
-	require.Equal(t, structs.NodeID("frozen"), <-forwarder.asked)
+	require.Equal(t, structs.NodeID("frozen"), <-forwarder.requested)
 	e.CancelForwardsTo("frozen")
-	require.Equal(t, structs.NodeID("b"), <-forwarder.asked)
+	require.Equal(t, structs.NodeID("b"), <-forwarder.requested)
 	require.NoError(t, <-answered)
 }
 
-// A request that a daemon does not acknowledge is answered elsewhere, without a
+// A request that a daemon does not acknowledge is sent to another member, without a
 // suspicion.
 func TestUnacknowledgedRequestIsRetriedElsewhere(t *testing.T) {
-	forwarder := fakeForwarder{answering: map[structs.NodeID]bool{"b": true}, asked: make(chan structs.NodeID, 2)}
+	forwarder := fakeForwarder{answering: map[structs.NodeID]bool{"b": true}, requested: make(chan structs.NodeID, 2)}
 	e := testExecutor(fakeReplicator{}, forwarder, "frozen", "b")
 	status, err := e.Status(t.Context(), "tenant", testProgram)
 	require.NoError(t, err)
 	require.Equal(t, testProgram, status.ID)
-	require.Equal(t, structs.NodeID("frozen"), <-forwarder.asked)
+	require.Equal(t, structs.NodeID("frozen"), <-forwarder.requested)
 }
 
-// A daemon whose replica was removed asks the members, not its former replica.
+// A daemon whose replica was removed forwards to the members and ignores its former
+// replica.
 func TestRemovedReplicaForwardsToMembers(t *testing.T) {
-	forwarder := fakeForwarder{answering: map[structs.NodeID]bool{"b": true}, asked: make(chan structs.NodeID, 1)}
-	e := testExecutor(fakeReplicator{status: replication.Status{Removed: true}, held: true}, forwarder, "b")
+	forwarder := fakeForwarder{answering: map[structs.NodeID]bool{"b": true}, requested: make(chan structs.NodeID, 1)}
+	e := testExecutor(fakeReplicator{status: replication.Status{Removed: true}, hasReplica: true}, forwarder, "b")
 	status, err := e.Status(t.Context(), "tenant", testProgram)
 	require.NoError(t, err)
 	require.Equal(t, testProgram, status.ID)
 }
 
-// A search during which an attempt may have taken effect does not end as not run.
+// A search in which an attempt may have taken effect must not report the operation as
+// not run.
 func TestSearchReportsUnknownOutcomeAfterAmbiguousAttempt(t *testing.T) {
 	unavailable := &failure.ShardUnavailable{Shard: 1}
-	unreached := &failure.Relayed{Kind: peerUnreachableType, Effect: failure.OutcomeUnknown}
-	clean, doubtful := newSearch(1), newSearch(1)
-	require.True(t, clean.again(t.Context(), unavailable, replySink{}))
-	require.True(t, doubtful.again(t.Context(), unreached, replySink{}))
-	require.Equal(t, failure.NotRun, failure.Classify(clean.verdict(unavailable)).Outcome())
-	require.Equal(t, failure.OutcomeUnknown, failure.Classify(doubtful.verdict(unavailable)).Outcome())
+	unreachable := &failure.Relayed{Kind: peerUnreachableType, Effect: failure.OutcomeUnknown}
+	unambiguous, ambiguous := newLeaderSearch(1), newLeaderSearch(1)
+	require.True(t, unambiguous.awaitRetry(t.Context(), unavailable, replySink{}))
+	require.True(t, ambiguous.awaitRetry(t.Context(), unreachable, replySink{}))
+	require.Equal(t, failure.NotRun, failure.Classify(unambiguous.finalError(unavailable)).Outcome())
+	require.Equal(t, failure.OutcomeUnknown, failure.Classify(ambiguous.finalError(unavailable)).Outcome())
 	final := &failure.BudgetExceeded{Member: "tokens"}
-	require.Equal(t, error(final), doubtful.verdict(final))
+	require.Equal(t, error(final), ambiguous.finalError(final))
 }
--- a/internal/executor/scheduling.go
+++ b/internal/executor/scheduling.go
@@ -8,23 +8,24 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// prospect is a model call as the scheduler is to see it.
-type prospect struct {
+// callDescription describes a model call to the scheduler.
+type callDescription struct {
 	model           structs.ModelName
 	adapter         string
 	promptTokens    int64
 	maxAnswerTokens int64
 	pauseHint       time.Duration
-	// firstInput begins the prompt; nil where it is not at hand.
+	// firstInput is the input at the start of the prompt; nil if it is not available.
 	firstInput []byte
 }
 
-// scheduleRequest describes a call of the program to the policy. Order and
-// deadline are those of the outermost program: its latency is what counts.
-func (s *shard) scheduleRequest(status program.Status, call prospect) *schedule.Request {
+// newScheduleRequest describes a call of the program to the scheduling policy. Order
+// and deadline are those of the root program, because only its latency matters to the
+// caller.
+func (s *shard) newScheduleRequest(status program.Status, call callDescription) *schedule.Request {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	root := s.outermost(status)
+	root := s.rootProgram(status)
 	return &schedule.Request{
 		Program:         status.ID,
 		Model:           call.model,
@@ -35,19 +36,19 @@
 		MaxAnswerTokens: call.maxAnswerTokens,
 		CachedTokens:    s.cachedTokens(status),
 		ParentEngine:    s.parentEngine(status.Parent),
-		SharedPrefix:    s.sharedPrefix(status.ID, call),
+		SharedPrefix:    s.sharedPrefixKey(status.ID, call),
 		EngineTimeUsed:  time.Duration(root.Spent.Milliseconds) * time.Millisecond,
 		Started:         root.OpenedAt,
 		Deadline:        root.Deadline,
 		Priority:        root.Priority,
-		ExpectedPause:   s.executor.pauses.Expected(status.ProgramName, call.pauseHint),
-		ExpectedGrowth:  s.executor.growth.Expected(status.ProgramName),
+		ExpectedPause:   s.executor.pauseEstimator.Expected(status.ProgramName, call.pauseHint),
+		ExpectedGrowth:  s.executor.growthEstimator.Expected(status.ProgramName),
 	}
 }
 
-// outermost follows the parents as far as this shard knows them; they all lie
-// in it. The mutex is held.
-func (s *shard) outermost(status program.Status) program.Status {
+// rootProgram follows the chain of parents as far as this shard knows them. All of
+// them belong to this shard. The caller holds the mutex.
+func (s *shard) rootProgram(status program.Status) program.Status {
 	for status.Parent != "" {
 		parent, found := s.machine.StatusForAnyTenant(status.Parent)
 		if !found {
@@ -58,18 +59,18 @@
 	return status
 }
 
-// sharedPrefix returns the key of the prompt's start, which is worked out once
-// for a program. The mutex is held.
-func (s *shard) sharedPrefix(id structs.ProgramID, call prospect) uint64 {
+// sharedPrefixKey returns the key of the prompt's start, which is computed once per
+// program. The caller holds the mutex.
+func (s *shard) sharedPrefixKey(id structs.ProgramID, call callDescription) uint64 {
 	if call.firstInput == nil {
 		return 0
 	}
-	note := s.noteOf(id)
-	if note.sharedPrefix == 0 {
-		note.sharedPrefix = schedule.SharedPrefixKey(call.model, call.adapter, call.firstInput)
+	hints := s.programHints(id)
+	if hints.sharedPrefixKey == 0 {
+		hints.sharedPrefixKey = schedule.SharedPrefixKey(call.model, call.adapter, call.firstInput)
 	}
-	if note.firstPrompt == 0 {
-		note.firstPrompt = call.promptTokens
+	if hints.firstPromptTokens == 0 {
+		hints.firstPromptTokens = call.promptTokens
 	}
-	return note.sharedPrefix
+	return hints.sharedPrefixKey
 }
--- a/internal/executor/shard.go
+++ b/internal/executor/shard.go
@@ -13,55 +13,56 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// shard is a replica of a shard's programs and, while this daemon leads it, the
-// work on them.
+// shard is this daemon's replica of a shard. It holds the state of the shard's
+// programs and, while this daemon leads the shard, the work on them.
 //
-// Invariant: at most one proposal per program is outstanding, and every
-// decision is made on a state to which all earlier ones were applied.
+// Invariant: there is at most one outstanding proposal per program, and every decision
+// is made on a state to which all earlier proposals were applied.
 type shard struct {
 	executor *Executor
 	id       structs.ShardID
 
-	// mutex guards the machine and the maps; it is never held over I/O.
+	// mutex guards the machine and the maps. It is never held during I/O.
 	mutex   sync.Mutex
 	machine *program.Machine
-	// term is the term led in, or 0.
+	// term is the term in which this daemon leads the shard, or 0.
 	term uint64
-	// context ends with the leadership.
+	// context is cancelled when the leadership ends.
 	context context.Context
 	cancel  context.CancelFunc
-	// changed has a channel for each program somebody waits on.
-	changed map[structs.ProgramID]chan struct{}
-	locks   map[structs.ProgramID]*programLock
-	live    map[callKey]*liveAnswer
-	workers map[structs.ProgramID]*worker
-	duties  map[dutyKey]bool
-	notes   map[structs.ProgramID]*programNote
+	// changeChannels has a channel for each program that a goroutine waits for. It is
+	// closed at the program's next change.
+	changeChannels   map[structs.ProgramID]chan struct{}
+	locks            map[structs.ProgramID]*programLock
+	answerBuffers    map[callKey]*answerBuffer
+	workers          map[structs.ProgramID]*worker
+	dutiesInProgress map[dutyKey]bool
+	hints            map[structs.ProgramID]*schedulingHints
 }
 
-// programLock serialises the proposals of one program.
+// programLock serializes the proposals of one program.
 type programLock struct {
-	holders int
-	token   chan struct{}
+	references int
+	semaphore  chan struct{}
 }
 
 func newShard(executor *Executor, id structs.ShardID) *shard {
-	created := &shard{executor: executor, id: id, machine: program.NewMachine(id)}
-	created.changed = map[structs.ProgramID]chan struct{}{}
-	created.locks = map[structs.ProgramID]*programLock{}
-	created.resetLeadership()
-	return created
+	replica := &shard{executor: executor, id: id, machine: program.NewMachine(id)}
+	replica.changeChannels = map[structs.ProgramID]chan struct{}{}
+	replica.locks = map[structs.ProgramID]*programLock{}
+	replica.resetLeadership()
+	return replica
 }
 
-// resetLeadership drops what only a leader holds. The mutex is held, or the
-// shard is not shared yet.
+// resetLeadership clears the state that only a leader holds. The caller holds the
+// mutex, or the shard is not shared yet.
 func (s *shard) resetLeadership() {
 	s.term = 0
 	s.context, s.cancel = context.WithCancel(s.executor.context)
-	s.live = map[callKey]*liveAnswer{}
+	s.answerBuffers = map[callKey]*answerBuffer{}
 	s.workers = map[structs.ProgramID]*worker{}
-	s.duties = map[dutyKey]bool{}
-	s.notes = map[structs.ProgramID]*programNote{}
+	s.dutiesInProgress = map[dutyKey]bool{}
+	s.hints = map[structs.ProgramID]*schedulingHints{}
 }
 
 // Apply applies a committed batch of records.
@@ -69,19 +70,19 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.machine.Apply(index, data)
-	if len(s.changed) > 0 {
-		s.wakeChanged(data)
+	if len(s.changeChannels) > 0 {
+		s.notifyBatch(data)
 	}
 }
 
-// Snapshot returns the whole state.
+// Snapshot returns the complete state.
 func (s *shard) Snapshot() ([]byte, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.machine.Snapshot()
 }
 
-// Restore replaces the whole state.
+// Restore replaces the complete state.
 func (s *shard) Restore(data []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -89,39 +90,41 @@
 	return s.machine.Restore(data)
 }
 
-func (s *shard) wakeChanged(data []byte) {
+// notifyBatch notifies the waiters of every program that a batch of records changes.
+// The caller holds the mutex.
+func (s *shard) notifyBatch(data []byte) {
 	batch := &programv1.RecordBatch{}
 	if proto.Unmarshal(data, batch) != nil {
 		return
 	}
 	for _, record := range batch.GetRecords() {
-		s.wake(structs.ProgramID(record.GetProgramId()))
+		s.notify(structs.ProgramID(record.GetProgramId()))
 		if child := record.GetChild(); child != nil {
-			s.wake(structs.ProgramID(child.GetChildId()))
+			s.notify(structs.ProgramID(child.GetChildId()))
 		}
 	}
 }
 
-// wake must be called with the mutex held.
-func (s *shard) wake(id structs.ProgramID) {
-	if channel, waited := s.changed[id]; waited {
-		close(channel)
-		delete(s.changed, id)
+// notify closes the change channel of a program. The caller holds the mutex.
+func (s *shard) notify(id structs.ProgramID) {
+	if changed, exists := s.changeChannels[id]; exists {
+		close(changed)
+		delete(s.changeChannels, id)
 	}
 }
 
-// watch returns a channel that is closed at the program's next change. The
-// mutex must be held, so that no change is missed after a look at the state.
-func (s *shard) watch(id structs.ProgramID) <-chan struct{} {
-	channel, waited := s.changed[id]
-	if !waited {
-		channel = make(chan struct{})
-		s.changed[id] = channel
+// changeChannel returns a channel that is closed at the program's next change. The
+// caller holds the mutex since it read the state, so that it misses no change.
+func (s *shard) changeChannel(id structs.ProgramID) <-chan struct{} {
+	changed, exists := s.changeChannels[id]
+	if !exists {
+		changed = make(chan struct{})
+		s.changeChannels[id] = changed
 	}
-	return channel
+	return changed
 }
 
-func (s *shard) lead(term uint64) {
+func (s *shard) becomeLeader(term uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.cancel()
@@ -129,7 +132,7 @@
 	s.term = term
 }
 
-func (s *shard) follow() {
+func (s *shard) becomeFollower() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.cancel()
@@ -137,51 +140,52 @@
 	s.cancel()
 }
 
-// leadership returns the context of the present leadership, or a
-// *failure.NotLeader.
-func (s *shard) leadership() (context.Context, error) {
+// leaderContext returns the context of the current leadership, or a *failure.NotLeader
+// error.
+func (s *shard) leaderContext() (context.Context, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.term == 0 {
-		return nil, s.notLeader()
+		return nil, s.notLeaderError()
 	}
 	return s.context, nil
 }
 
-func (s *shard) notLeader() error {
+func (s *shard) notLeaderError() error {
 	return &failure.NotLeader{Shard: uint32(s.id)}
 }
 
-// inspect runs look on the state while this daemon leads the shard.
-func (s *shard) inspect(look func(*program.Machine) error) error {
+// readState calls read with the state if this daemon leads the shard.
+func (s *shard) readState(read func(*program.Machine) error) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.term == 0 {
-		return s.notLeader()
+		return s.notLeaderError()
 	}
-	return look(s.machine)
+	return read(s.machine)
 }
 
-// decider validates a request against the state.
-type decider func(now time.Time, machine *program.Machine) (program.Decision, error)
+// decisionFunc validates a request against the state and returns the decision to
+// propose.
+type decisionFunc func(now time.Time, machine *program.Machine) (program.Decision, error)
 
-// mutate makes a decision on the named programs and returns once its records
-// are committed and applied. When ctx ends first, the proposal goes on and
-// keeps the programs locked until its fate is known; the error is then a
+// proposeDecision makes a decision on the given programs and returns once its records
+// are committed and applied. If ctx ends first, the proposal continues and keeps the
+// programs locked until its outcome is known; the error is then a
 // *failure.ProposalUnknown.
-func (s *shard) mutate(ctx context.Context, decide decider, ids ...structs.ProgramID) (program.Decision, error) {
+func (s *shard) proposeDecision(ctx context.Context, decide decisionFunc, ids ...structs.ProgramID) (program.Decision, error) {
 	if err := s.lockAll(ctx, ids); err != nil {
 		return program.Decision{}, err
 	}
-	decision, term, err := s.decide(decide)
+	decision, term, err := s.makeDecision(decide)
 	if err != nil || len(decision.Records) == 0 {
 		s.unlockAll(ids)
 		return decision, err
 	}
 	done := make(chan error, 1)
-	s.executor.task(func() {
+	s.executor.runInBackground(func() {
 		defer s.unlockAll(ids)
-		done <- s.propose(term, decision)
+		done <- s.proposeRecords(term, decision)
 	})
 	select {
 	case err := <-done:
@@ -191,17 +195,17 @@
 	}
 }
 
-func (s *shard) decide(decide decider) (program.Decision, uint64, error) {
+func (s *shard) makeDecision(decide decisionFunc) (program.Decision, uint64, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.term == 0 {
-		return program.Decision{}, 0, s.notLeader()
+		return program.Decision{}, 0, s.notLeaderError()
 	}
 	decision, err := decide(time.Now(), s.machine)
 	return decision, s.term, err
 }
 
-func (s *shard) propose(term uint64, decision program.Decision) error {
+func (s *shard) proposeRecords(term uint64, decision program.Decision) error {
 	data, err := proto.Marshal(decision.Batch())
 	if err != nil {
 		return &failure.Internal{Cause: err}
@@ -209,12 +213,11 @@
 	return s.executor.options.Replicator.ProposeInTerm(s.executor.context, s.id, term, data)
 }
 
-// lockAll takes the programs' locks in the order given; a parent is named
-// before its child.
+// lockAll locks the programs in the given order. A parent must precede its child.
 func (s *shard) lockAll(ctx context.Context, ids []structs.ProgramID) error {
-	for position, id := range ids {
-		if err := s.lock(ctx, id); err != nil {
-			s.unlockAll(ids[:position])
+	for i, id := range ids {
+		if err := s.lockProgram(ctx, id); err != nil {
+			s.unlockAll(ids[:i])
 			return err
 		}
 	}
@@ -223,42 +226,43 @@
 
 func (s *shard) unlockAll(ids []structs.ProgramID) {
 	for _, id := range ids {
-		s.unlock(id)
+		s.unlockProgram(id)
 	}
 }
 
-func (s *shard) lock(ctx context.Context, id structs.ProgramID) error {
+func (s *shard) lockProgram(ctx context.Context, id structs.ProgramID) error {
 	s.mutex.Lock()
-	held, known := s.locks[id]
-	if !known {
-		held = &programLock{token: make(chan struct{}, 1)}
-		s.locks[id] = held
+	lock, exists := s.locks[id]
+	if !exists {
+		lock = &programLock{semaphore: make(chan struct{}, 1)}
+		s.locks[id] = lock
 	}
-	held.holders++
+	lock.references++
 	s.mutex.Unlock()
 	select {
-	case held.token <- struct{}{}:
+	case lock.semaphore <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		s.forget(id)
+		s.releaseLockReference(id)
 		return &failure.ShardUnavailable{Shard: uint32(s.id)}
 	}
 }
 
-func (s *shard) unlock(id structs.ProgramID) {
+func (s *shard) unlockProgram(id structs.ProgramID) {
 	s.mutex.Lock()
-	held := s.locks[id]
+	lock := s.locks[id]
 	s.mutex.Unlock()
-	<-held.token
-	s.forget(id)
+	<-lock.semaphore
+	s.releaseLockReference(id)
 }
 
-func (s *shard) forget(id structs.ProgramID) {
+// releaseLockReference removes the lock of a program once no goroutine uses it.
+func (s *shard) releaseLockReference(id structs.ProgramID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	held := s.locks[id]
-	held.holders--
-	if held.holders == 0 {
+	lock := s.locks[id]
+	lock.references--
+	if lock.references == 0 {
 		delete(s.locks, id)
 	}
 }
--- a/internal/executor/tool_call.go
+++ b/internal/executor/tool_call.go
@@ -13,48 +13,49 @@
 )
 
 const (
-	// defaultToolTimeout bounds a call to a tool that declares no deadline.
+	// defaultToolTimeout limits a call to a tool that declares no deadline.
 	defaultToolTimeout = 30 * time.Second
 	toolRetryDelay     = 50 * time.Millisecond
-	// outcomeTimeout bounds asking a tool for the outcome of an earlier call.
-	outcomeTimeout = 10 * time.Second
-	outcomeDelay   = 200 * time.Millisecond
+	// outcomeQueryTimeout limits how long a tool is asked for the outcome of an
+	// earlier call.
+	outcomeQueryTimeout  = 10 * time.Second
+	outcomeQueryInterval = 200 * time.Millisecond
 )
 
-// runTool runs a tool call to its end.
+// runTool executes a tool call until it ends.
 //
-// Invariant: a call that is not repeatable is sent at most once, by the leader
-// whose own start record it carries; a later leader only asks for its outcome.
-func (w *worker) runTool(call *program.Call, started bool) error {
+// Invariant: a call that is not repeatable is sent at most once, by the leader that
+// recorded its start. A later leader only queries its outcome.
+func (w *worker) runTool(call *program.Call, startedByFormerLeader bool) error {
 	declared, err := w.permittedTool(call)
-	if err != nil && !started {
-		return w.refuse(call, err)
+	if err != nil && !startedByFormerLeader {
+		return w.reject(call, err)
 	}
 	if err != nil {
-		return w.unknown(call, err.Error())
+		return w.recordUnknownOutcome(call, err.Error())
 	}
-	if started {
-		return w.takeOverTool(declared, call)
+	if startedByFormerLeader {
+		return w.resumeTool(declared, call)
 	}
 	for {
-		begun, done, err := w.beginTool(declared, call)
+		startedCall, done, err := w.startToolAttempt(declared, call)
 		if done || err != nil {
 			return err
 		}
-		again, err := w.sendTool(declared, begun, false)
-		if err != nil || !again {
+		retry, err := w.sendTool(declared, startedCall, false)
+		if err != nil || !retry {
 			return err
 		}
-		if call, err = w.callNow(call.Number); err != nil || call.State.Final() {
+		if call, err = w.currentCall(call.Number); err != nil || call.State.Final() {
 			return err
 		}
 	}
 }
 
-// permittedTool returns the tool as declared now, where its zone may see the
-// program's data.
+// permittedTool returns the tool as currently declared, and an error if its zone may
+// not receive the program's data.
 func (w *worker) permittedTool(call *program.Call) (structs.Tool, error) {
-	declared, found := declaredTool(w.shard.executor.options.Configuration(), structs.ToolName(call.Target))
+	declared, found := findTool(w.shard.executor.options.Configuration(), structs.ToolName(call.Target))
 	if !found {
 		return structs.Tool{}, &failure.NotPermitted{What: "tool " + call.Target}
 	}
@@ -66,43 +67,44 @@
 	return declared, placement.Check(policy, placement.ToolArguments, declared.Zone)
 }
 
-// beginTool records the start. done says that the call has ended instead.
-func (w *worker) beginTool(declared structs.Tool, call *program.Call) (begun *program.Call, done bool, err error) {
-	begun, err = w.start(program.StartRequest{
+// startToolAttempt records the start of an attempt. done reports that the call has
+// ended instead.
+func (w *worker) startToolAttempt(declared structs.Tool, call *program.Call) (startedCall *program.Call, done bool, err error) {
+	startedCall, err = w.recordStart(program.StartRequest{
 		Program:       call.Program,
 		Number:        call.Number,
 		TargetID:      call.Target,
 		TargetAddress: declared.Address,
-		DispatchKey:   toolKey(call),
+		DispatchKey:   idempotencyKey(call),
 		Reserve: structs.Amount{
 			CostMicros:   declared.PriceMicros,
 			Turns:        1,
 			Milliseconds: toolTimeout(declared).Milliseconds(),
 		},
 	})
-	if refusable(err) {
-		return nil, true, w.refuse(call, err)
+	if isFinalRejection(err) {
+		return nil, true, w.reject(call, err)
 	}
-	return begun, false, err
+	return startedCall, false, err
 }
 
-// toolKey is the idempotency key of a call. All attempts of a repeatable call
-// share it, so that a tool that knows keys runs the call once.
-func toolKey(call *program.Call) string {
+// idempotencyKey returns the idempotency key of a call. All attempts of a repeatable
+// call share it, so that a tool that supports keys runs the call once.
+func idempotencyKey(call *program.Call) string {
 	if call.Repeatable {
 		return string(call.Program) + "." + formatNumber(uint64(call.Number))
 	}
 	return dispatchKey(call)
 }
 
-// sendTool sends the call once. again says that it may be sent another time.
-// taken says that an earlier leader may have sent the attempt already: a refusal
-// of this sending is then no proof that it did not run.
-func (w *worker) sendTool(declared structs.Tool, call *program.Call, taken bool) (again bool, err error) {
+// sendTool sends the call once. retry reports that it may be sent again.
+// startedByFormerLeader says that an earlier leader may already have sent the attempt;
+// if the tool rejects it now, that does not prove that it did not run.
+func (w *worker) sendTool(declared structs.Tool, call *program.Call, startedByFormerLeader bool) (retry bool, err error) {
 	ctx, cancel := context.WithDeadline(w.shard.executor.context, attemptDeadline(call))
 	defer cancel()
-	leave := w.shard.executor.quiesced.enter()
-	defer leave()
+	endToolCall := w.shard.executor.quiescence.beginToolCall()
+	defer endToolCall()
 	result, err := w.shard.executor.options.ToolClient.Call(ctx, declared, call.DispatchKey, call.Input)
 	if err == nil {
 		return false, w.settleTool(declared, call, result, nil)
@@ -110,21 +112,21 @@
 	switch {
 	case failure.IsType(err, (&failure.ToolFailed{}).Type()):
 		return false, w.settleTool(declared, call, tool.Result{}, err)
-	case failure.Classify(err).Outcome() == failure.NotRun && !taken:
-		return w.settleToolRefused(declared, call, err)
+	case failure.Classify(err).Outcome() == failure.NotRun && !startedByFormerLeader:
+		return w.settleToolNotRun(declared, call, err)
 	case call.Repeatable:
 		return w.settleToolLost(declared, call, err)
 	}
-	return false, w.learnOutcome(declared, call)
+	return false, w.queryOutcome(declared, call)
 }
 
-// attemptDeadline is when the attempt's reserved time is over.
+// attemptDeadline returns the end of the attempt's reserved time.
 func attemptDeadline(call *program.Call) time.Time {
 	return call.StartedAt.Add(time.Duration(call.Reserved.Milliseconds) * time.Millisecond)
 }
 
 // settleTool records the end of a call that ran.
-func (w *worker) settleTool(declared structs.Tool, call *program.Call, result tool.Result, failed error) error {
+func (w *worker) settleTool(declared structs.Tool, call *program.Call, result tool.Result, toolErr error) error {
 	request := program.FinishRequest{
 		Program: call.Program,
 		Number:  call.Number,
@@ -132,98 +134,98 @@
 		Answer:  result.Body,
 		Spent: structs.Amount{
 			CostMicros:   declared.PriceMicros,
-			Milliseconds: elapsed(call.StartedAt),
+			Milliseconds: elapsedMilliseconds(call.StartedAt),
 		},
 	}
-	if failed != nil {
-		request.FailureType = failure.Classify(failed).Type()
-		request.FailureDetail = failed.Error()
+	if toolErr != nil {
+		request.FailureType = failure.Classify(toolErr).Type()
+		request.FailureDetail = toolErr.Error()
 	}
-	return w.finish(request)
+	return w.recordFinish(request)
 }
 
-// settleToolRefused takes an attempt back that the tool did not run.
-func (w *worker) settleToolRefused(declared structs.Tool, call *program.Call, cause error) (again bool, err error) {
-	again = int(call.Attempt) <= declared.Retries
-	err = w.notRun(program.NotRunRequest{
+// settleToolNotRun settles an attempt that the tool did not run.
+func (w *worker) settleToolNotRun(declared structs.Tool, call *program.Call, cause error) (retry bool, err error) {
+	retry = int(call.Attempt) <= declared.Retries
+	err = w.recordNotRun(program.NotRunRequest{
 		Program:       call.Program,
 		Number:        call.Number,
 		Attempt:       call.Attempt,
-		Spent:         structs.Amount{Milliseconds: min(elapsed(call.StartedAt), call.Reserved.Milliseconds)},
-		Final:         !again,
+		Spent:         structs.Amount{Milliseconds: min(elapsedMilliseconds(call.StartedAt), call.Reserved.Milliseconds)},
+		Final:         !retry,
 		FailureType:   failure.Classify(cause).Type(),
 		FailureDetail: cause.Error(),
 	})
-	return w.retryTool(again, err, call)
+	return w.delayToolRetry(retry, err, call)
 }
 
-// settleToolLost gives an attempt of a repeatable call up whose answer was
-// lost; what it may have cost counts as spent.
-func (w *worker) settleToolLost(declared structs.Tool, call *program.Call, cause error) (again bool, err error) {
+// settleToolLost settles an attempt of a repeatable call whose answer was lost. Its
+// possible cost counts as spent.
+func (w *worker) settleToolLost(declared structs.Tool, call *program.Call, cause error) (retry bool, err error) {
 	if int(call.Attempt) > declared.Retries {
-		return false, w.unknown(call, cause.Error())
+		return false, w.recordUnknownOutcome(call, cause.Error())
 	}
-	err = w.notRun(program.NotRunRequest{
+	err = w.recordNotRun(program.NotRunRequest{
 		Program: call.Program,
 		Number:  call.Number,
 		Attempt: call.Attempt,
 		Spent: structs.Amount{
 			CostMicros:   declared.PriceMicros,
-			Milliseconds: min(elapsed(call.StartedAt), call.Reserved.Milliseconds),
+			Milliseconds: min(elapsedMilliseconds(call.StartedAt), call.Reserved.Milliseconds),
 		},
 		GivenUp:       true,
 		FailureType:   failure.Classify(cause).Type(),
 		FailureDetail: cause.Error(),
 	})
-	return w.retryTool(true, err, call)
+	return w.delayToolRetry(true, err, call)
 }
 
-func (w *worker) retryTool(again bool, err error, call *program.Call) (bool, error) {
-	if err != nil || !again {
+func (w *worker) delayToolRetry(retry bool, err error, call *program.Call) (bool, error) {
+	if err != nil || !retry {
 		return false, err
 	}
 	return pause.For(w.context, toolRetryDelay<<min(call.Attempt, 6)), nil
 }
 
-// takeOverTool ends a call that an earlier leader started.
-func (w *worker) takeOverTool(declared structs.Tool, call *program.Call) error {
+// resumeTool ends a call that an earlier leader started.
+func (w *worker) resumeTool(declared structs.Tool, call *program.Call) error {
 	if !call.Repeatable {
-		return w.learnOutcome(declared, call)
+		return w.queryOutcome(declared, call)
 	}
-	again, err := w.sendTool(declared, call, true)
-	if err != nil || !again {
+	retry, err := w.sendTool(declared, call, true)
+	if err != nil || !retry {
 		return err
 	}
-	next, err := w.callNow(call.Number)
+	next, err := w.currentCall(call.Number)
 	if err != nil || next.State.Final() {
 		return err
 	}
 	return w.runTool(next, false)
 }
 
-// learnOutcome asks the tool what became of a call by its key, where the tool
-// can tell, and records the outcome as unknown otherwise. A tool's word that
-// the call did not run is no proof while the request may still be on its way,
-// so it is asked until the time is over.
-func (w *worker) learnOutcome(declared structs.Tool, call *program.Call) error {
+// queryOutcome asks the tool for the outcome of a call by its key if the tool supports
+// that, and records the outcome as unknown otherwise. While the request may still be
+// in transit, a reply that the call did not run proves nothing, so the query is
+// repeated until outcomeQueryTimeout.
+func (w *worker) queryOutcome(declared structs.Tool, call *program.Call) error {
 	if !declared.StatusByKey {
-		return w.unknown(call, "the tool gave no answer and cannot tell")
+		return w.recordUnknownOutcome(call, "the tool gave no answer and cannot tell")
 	}
-	ctx, cancel := context.WithTimeout(w.context, outcomeTimeout)
+	ctx, cancel := context.WithTimeout(w.context, outcomeQueryTimeout)
 	defer cancel()
 	for {
 		outcome, err := w.shard.executor.options.ToolClient.Outcome(ctx, declared, call.DispatchKey)
 		if err == nil && outcome.Known && outcome.Ran {
 			return w.settleTool(declared, call, tool.Result{Body: outcome.Body}, nil)
 		}
-		if !pause.For(ctx, outcomeDelay) {
+		if !pause.For(ctx, outcomeQueryInterval) {
 			break
 		}
 	}
 	if w.context.Err() != nil {
-		return w.shard.notLeader()
+		return w.shard.notLeaderError()
 	}
-	return w.unknown(call, "the tool does not know the call's outcome")
+	return w.recordUnknownOutcome(call, "the tool does not know the call's outcome")
 }
 
 func toolTimeout(declared structs.Tool) time.Duration {
--- a/internal/executor/worker.go
+++ b/internal/executor/worker.go
@@ -10,110 +10,111 @@
 	"github.com/barleyshelf/barleyshelf/internal/structs"
 )
 
-// worker dispatches the calls of one program, one after the other, while this
-// daemon leads the program's shard. It ends when nothing can be dispatched.
+// worker dispatches the calls of one program sequentially while this daemon leads the
+// program's shard. It stops when no call can be dispatched.
 type worker struct {
 	shard   *shard
 	tenant  structs.TenantID
 	program structs.ProgramID
-	// context ends with the leadership.
+	// context is cancelled when the leadership ends.
 	context context.Context
-	// resume is a started call without an end, taken over from an earlier
-	// leader; guarded by the shard's mutex.
-	resume *program.Call
-	// begun is an attempt whose start is committed and that is to be sent;
+	// resumedCall is a started but unfinished call of an earlier leader. It is guarded
+	// by the shard's mutex.
+	resumedCall *program.Call
+	// committedAttempt is an attempt whose start is committed and that has to be sent. It is
 	// guarded by the shard's mutex.
-	begun *modelAttempt
+	committedAttempt *modelAttempt
 }
 
-// startWorker makes sure that the program's calls are being dispatched.
+// startWorker makes sure that a worker dispatches the program's calls.
 func (s *shard) startWorker(tenant structs.TenantID, id structs.ProgramID) {
-	s.startResuming(tenant, id, nil)
+	s.startWorkerWithCall(tenant, id, nil)
 }
 
-// startResuming is startWorker with a started call to take up first. A worker
-// that runs already looks after its own started call.
-func (s *shard) startResuming(tenant structs.TenantID, id structs.ProgramID, started *program.Call) {
+// startWorkerWithCall is startWorker with a started call to resume first. A worker
+// that is already running handles its own started call.
+func (s *shard) startWorkerWithCall(tenant structs.TenantID, id structs.ProgramID, started *program.Call) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.term == 0 {
 		return
 	}
-	s.putToWork(&worker{shard: s, tenant: tenant, program: id, context: s.context, resume: started})
+	s.ensureWorker(&worker{shard: s, tenant: tenant, program: id, context: s.context, resumedCall: started})
 }
 
-// putToWork starts the worker, or leaves what it was to begin with to the one
-// that the program has already. The mutex is held.
-func (s *shard) putToWork(created *worker) {
-	if running, exists := s.workers[created.program]; exists {
-		if created.begun != nil {
-			running.begun = created.begun
+// ensureWorker starts the worker. If the program already has one, that worker
+// receives the committed attempt of the new one instead. The caller holds the mutex.
+func (s *shard) ensureWorker(worker *worker) {
+	if running, exists := s.workers[worker.program]; exists {
+		if worker.committedAttempt != nil {
+			running.committedAttempt = worker.committedAttempt
 		}
 		return
 	}
-	s.workers[created.program] = created
-	s.executor.task(created.run)
+	s.workers[worker.program] = worker
+	s.executor.runInBackground(worker.run)
 }
 
-// task is what a worker does next.
-type task struct {
+// workerTask is the next work of a worker.
+type workerTask struct {
 	call *program.Call
-	// started says that an earlier leader started the call.
-	started bool
-	// begun is the attempt to follow, where its start is committed already.
-	begun *modelAttempt
+	// startedByFormerLeader is set if an earlier leader started the call.
+	startedByFormerLeader bool
+	// committedAttempt is the attempt to run if its start is already committed; nil otherwise.
+	committedAttempt *modelAttempt
 }
 
 func (w *worker) run() {
 	for {
-		next, found := w.next()
+		next, found := w.nextTask()
 		if !found {
 			return
 		}
-		if err := w.perform(next); err != nil {
-			w.pauseAfter(err)
+		if err := w.execute(next); err != nil {
+			w.logAndDelay(err)
 		}
 	}
 }
 
-func (w *worker) perform(next task) error {
+func (w *worker) execute(next workerTask) error {
 	switch {
-	case next.begun != nil:
-		return w.followModel(next.begun)
+	case next.committedAttempt != nil:
+		return w.runModelAttempts(next.committedAttempt)
 	case next.call.Kind == program.ToolCall:
-		return w.runTool(next.call, next.started)
+		return w.runTool(next.call, next.startedByFormerLeader)
 	}
-	return w.runModel(next.call, next.started)
+	return w.runModel(next.call, next.startedByFormerLeader)
 }
 
-// next returns what to do next. Where that is nothing it returns false, and the
-// worker is gone.
-func (w *worker) next() (task, bool) {
+// nextTask returns the next task. If there is none, it removes the worker from the
+// shard and returns false.
+func (w *worker) nextTask() (workerTask, bool) {
 	s := w.shard
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if w.context.Err() != nil {
-		return task{}, false
+		return workerTask{}, false
 	}
-	if attempt := w.begun; attempt != nil {
-		w.begun = nil
-		return task{begun: attempt}, true
+	if attempt := w.committedAttempt; attempt != nil {
+		w.committedAttempt = nil
+		return workerTask{committedAttempt: attempt}, true
 	}
-	if call := w.resume; call != nil {
-		w.resume = nil
-		return task{call: call, started: true}, true
+	if call := w.resumedCall; call != nil {
+		w.resumedCall = nil
+		return workerTask{call: call, startedByFormerLeader: true}, true
 	}
-	if !s.executor.quiesced.active() {
+	if !s.executor.quiescence.isStopping() {
 		if runnable, found := s.machine.RunnableCall(w.program); found {
-			return task{call: runnable}, true
+			return workerTask{call: runnable}, true
 		}
 	}
 	delete(s.workers, w.program)
-	return task{}, false
+	return workerTask{}, false
 }
 
-// pauseAfter logs an unexpected failure and keeps the worker from spinning.
-func (w *worker) pauseAfter(err error) {
+// logAndDelay logs an unexpected failure and waits, so that the worker does not retry
+// in a tight loop.
+func (w *worker) logAndDelay(err error) {
 	const delay = 100 * time.Millisecond
 	if w.context.Err() != nil {
 		return
@@ -122,16 +123,16 @@
 	pause.For(w.context, delay)
 }
 
-// mutate makes a decision on the worker's program.
-func (w *worker) mutate(decide decider) error {
-	_, err := w.shard.mutate(w.context, decide, w.program)
+// proposeDecision makes a decision on the worker's program.
+func (w *worker) proposeDecision(decide decisionFunc) error {
+	_, err := w.shard.proposeDecision(w.context, decide, w.program)
 	return err
 }
 
-// status returns the program's present status.
+// status returns the program's current status.
 func (w *worker) status() (program.Status, error) {
 	status := program.Status{}
-	err := w.shard.inspect(func(machine *program.Machine) error {
+	err := w.shard.readState(func(machine *program.Machine) error {
 		found, err := machine.Status(w.tenant, w.program)
 		status = found
 		return err
@@ -139,16 +140,16 @@
 	return status, err
 }
 
-// start puts the attempt's record on a majority and returns the started call.
-func (w *worker) start(request program.StartRequest) (*program.Call, error) {
-	err := w.mutate(func(now time.Time, machine *program.Machine) (program.Decision, error) {
+// recordStart commits the start of the attempt and returns the started call.
+func (w *worker) recordStart(request program.StartRequest) (*program.Call, error) {
+	err := w.proposeDecision(func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		return machine.Start(now, request)
 	})
 	if err != nil {
 		return nil, err
 	}
 	var started *program.Call
-	err = w.shard.inspect(func(machine *program.Machine) error {
+	err = w.shard.readState(func(machine *program.Machine) error {
 		call, found := machine.StartedCall(request.Program, request.Number, request.DispatchKey)
 		if !found {
 			return &failure.CallConflict{What: "attempt"}
@@ -159,48 +160,48 @@
 	return started, err
 }
 
-func (w *worker) finish(request program.FinishRequest) error {
-	return w.mutate(func(now time.Time, machine *program.Machine) (program.Decision, error) {
+func (w *worker) recordFinish(request program.FinishRequest) error {
+	return w.proposeDecision(func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		return machine.Finish(now, request)
 	})
 }
 
-func (w *worker) notRun(request program.NotRunRequest) error {
-	return w.mutate(func(now time.Time, machine *program.Machine) (program.Decision, error) {
+func (w *worker) recordNotRun(request program.NotRunRequest) error {
+	return w.proposeDecision(func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		return machine.RecordNotRun(now, request)
 	})
 }
 
-func (w *worker) unknown(call *program.Call, detail string) error {
-	return w.mutate(func(now time.Time, machine *program.Machine) (program.Decision, error) {
+func (w *worker) recordUnknownOutcome(call *program.Call, detail string) error {
+	return w.proposeDecision(func(now time.Time, machine *program.Machine) (program.Decision, error) {
 		return machine.RecordOutcomeUnknown(now, call.Program, call.Number, call.Attempt, detail)
 	})
 }
 
-// refuse ends a call that was never sent: it truly did not run.
-func (w *worker) refuse(call *program.Call, cause error) error {
-	known := failure.Classify(cause)
-	return w.notRun(program.NotRunRequest{
+// reject ends a call that was never sent and therefore did not run.
+func (w *worker) reject(call *program.Call, cause error) error {
+	classified := failure.Classify(cause)
+	return w.recordNotRun(program.NotRunRequest{
 		Program:       call.Program,
 		Number:        call.Number,
 		Final:         true,
-		FailureType:   known.Type(),
-		FailureDetail: known.Error(),
+		FailureType:   classified.Type(),
+		FailureDetail: classified.Error(),
 	})
 }
 
-// refusable reports whether err is the state machine's own refusal of a start,
-// and so the call's final outcome.
-func refusable(err error) bool {
+// isFinalRejection reports whether the state machine rejected the start of a call,
+// which is then the call's final outcome.
+func isFinalRejection(err error) bool {
 	return failure.IsType(err, (&failure.BudgetExceeded{}).Type()) ||
 		failure.IsType(err, (&failure.NoPermittedPlace{}).Type()) ||
 		failure.IsType(err, (&failure.NotPermitted{}).Type())
 }
 
-// callNow returns the call as the state has it now.
-func (w *worker) callNow(number structs.CallNumber) (*program.Call, error) {
+// currentCall returns the call from the current state.
+func (w *worker) currentCall(number structs.CallNumber) (*program.Call, error) {
 	var call *program.Call
-	err := w.shard.inspect(func(machine *program.Machine) error {
+	err := w.shard.readState(func(machine *program.Machine) error {
 		found, exists := machine.Call(w.program, number)
 		if !exists {
 			return &failure.UnknownCall{Number: uint32(number)}
@@ -211,13 +212,14 @@
 	return call, err
 }
 
-// dispatchKey names an attempt: the same on every leader that takes it up.
+// dispatchKey identifies an attempt. It is the same on every leader that resumes the
+// attempt.
 func dispatchKey(call *program.Call) string {
 	attempt := uint64(call.Attempt) + 1
 	return string(call.Program) + "." + formatNumber(uint64(call.Number)) + "." + formatNumber(attempt)
 }
 
-// elapsed returns the milliseconds since the attempt started, at least 1.
-func elapsed(started time.Time) int64 {
+// elapsedMilliseconds returns the milliseconds since the attempt started, at least 1.
+func elapsedMilliseconds(started time.Time) int64 {
 	return max(time.Since(started).Milliseconds(), 1)
 }
