--- a/internal/replica/nextgroup.go
+++ b/internal/replica/nextgroup.go
@@ -23,7 +23,7 @@
 	// unavailable.
 	minSeats = 3
 	// nodesPerPartition determines the number of partitions of a new system. With three nodes per
-	// number a node holds 5/3 seats on average and at most two. Fewer nodes per partition would
+	// partition a node holds 5/3 seats on average and at most two. Fewer nodes per partition would
 	// not spread the load better, and each partition adds its own announcements and batches of
 	// settlements.
 	nodesPerPartition = 3
